--- a/crates/dispatch/src/agent_loop.rs
+++ b/crates/dispatch/src/agent_loop.rs
@@ -2,11 +2,11 @@
 
 use {
     crate::{
-        Directory, DirectoryNews, DispatchError, EndpointOrders, SharedRouting,
+        Directory, DirectoryEvent, DispatchError, EndpointOrders, SharedRouting,
         entry_dialers::EntryDialers,
         recorder::Recorder,
         reload::{SettingsFile, reload},
-        routing_news::RoutingNews,
+        routing_sync::RoutingSync,
     },
     chestnutrun_decisions::guard::{
         Announcement, GuardAction, GuardConf, GuardInput, GuardMachine, GuardMessage,
@@ -37,7 +37,7 @@
 const MAX_QUEUED_EVENTS: usize = 4_096;
 
 /// How often an agent without a link asks the directory for entries.
-const ASK_DIRECTORY_INTERVAL: Duration = Duration::from_secs(1);
+const DIRECTORY_READ_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time of the platform's grace that is kept for the end of the process.
 const END_MARGIN: Duration = Duration::from_millis(700);
@@ -92,10 +92,10 @@
     directory: Box<dyn Directory>,
     orders: Box<dyn EndpointOrders>,
     routing: SharedRouting,
-    news: RoutingNews,
+    routing_sync: RoutingSync,
     events: Sender<AgentEvent>,
-    news_tx: Sender<DirectoryNews>,
-    ask_directory_at: Instant,
+    directory_tx: Sender<DirectoryEvent>,
+    read_directory_at: Instant,
     grace: Duration,
     settings: Box<dyn SettingsFile>,
     recorder: Recorder,
@@ -115,7 +115,7 @@
         let now = Now::read();
         let incarnation: Incarnation = now.incarnation();
         let (link_tx, link_rx) = channel(MAX_QUEUED_EVENTS);
-        let (news_tx, news_rx) = channel(MAX_QUEUED_EVENTS);
+        let (directory_tx, directory_rx) = channel(MAX_QUEUED_EVENTS);
         let hello = Hello::Guard(GuardHello {
             agent: conf.agent.clone(),
             incarnation,
@@ -134,21 +134,21 @@
             directory: conf.directory,
             orders: conf.orders,
             routing: SharedRouting::default(),
-            news: RoutingNews::default(),
+            routing_sync: RoutingSync::default(),
             events,
-            news_tx,
-            ask_directory_at: now.instant,
+            directory_tx,
+            read_directory_at: now.instant,
             grace: conf.grace,
             end_by: None,
         };
-        this.serve(rx, link_rx, news_rx).await
+        this.serve(rx, link_rx, directory_rx).await
     }
 
     async fn serve(
         mut self,
         mut rx: Receiver<AgentEvent>,
         mut links: Receiver<LinkEvent>,
-        mut news: Receiver<DirectoryNews>,
+        mut directory_events: Receiver<DirectoryEvent>,
     ) -> Result<(), DispatchError> {
         let mut terminate = signal(SignalKind::terminate()).map_err(DispatchError::Signal)?;
         let mut hang_up = signal(SignalKind::hangup()).map_err(DispatchError::Signal)?;
@@ -160,7 +160,7 @@
             tokio::select! {
                 Some(event) = rx.recv() => self.event(event),
                 Some(event) = links.recv() => self.link_event(event),
-                Some(event) = news.recv() => self.directory_news(event),
+                Some(event) = directory_events.recv() => self.handle_directory_event(event),
                 () = until(wake_at) => self.input(GuardInput::Tick),
                 _ = tick.tick() => self.tick(),
                 _ = terminate.recv() => self.leave(),
@@ -210,11 +210,11 @@
         let now = Now::read().instant;
         let linked: Vec<SocketAddr> = self.members().map(|member| member.inner).collect();
         self.dialers.tidy(now, &linked);
-        if linked.is_empty() && self.ask_directory_at <= now {
-            self.ask_directory_at = now + ASK_DIRECTORY_INTERVAL;
-            self.directory.read_members(self.news_tx.clone());
+        if linked.is_empty() && self.read_directory_at <= now {
+            self.read_directory_at = now + DIRECTORY_READ_INTERVAL;
+            self.directory.read_members(self.directory_tx.clone());
         }
-        if let Some(peer) = self.news.due(now, self.routing.version()) {
+        if let Some(peer) = self.routing_sync.due_request(now, self.routing.version()) {
             self.send(peer, Message::RoutingRequest);
         }
     }
@@ -236,20 +236,20 @@
                     ("routing-version", self.routing.version()),
                     ("routing-age-seconds", self.routing.age().as_secs()),
                 ];
-                let text = self.recorder.text(&gauges, &self.directory.calls());
+                let text = self.recorder.text(&gauges, &self.directory.call_counts());
                 let _ = reply.send(text);
             }
         }
     }
 
-    fn directory_news(&mut self, news: DirectoryNews) {
-        match news {
-            DirectoryNews::Members(members) => {
+    fn handle_directory_event(&mut self, event: DirectoryEvent) {
+        match event {
+            DirectoryEvent::Members(members) => {
                 self.dialers.dial_members(Now::read().instant, &members);
             }
-            DirectoryNews::Reachable(is_there) => self.recorder.dependency("directory", is_there),
-            DirectoryNews::Note(note) => self.recorder.note(Now::read(), note),
-            DirectoryNews::Routing(table) => self.take_routing(table, "directory"),
+            DirectoryEvent::Reachable(is_there) => self.recorder.dependency("directory", is_there),
+            DirectoryEvent::Note(note) => self.recorder.note(Now::read(), note),
+            DirectoryEvent::Routing(table) => self.take_routing(table, "directory"),
         }
     }
 
@@ -271,7 +271,7 @@
     }
 
     fn link_down(&mut self, id: LinkId) {
-        self.news.down(id);
+        self.routing_sync.remove_peer(id);
         let entry = self.entry(id);
         if let Some(open) = self.links.swap_remove(&id) {
             open.link.close();
@@ -309,7 +309,8 @@
             }
             Message::RoutingVersion(version) => {
                 let now = Now::read().instant;
-                self.news.told(now, self.routing.version(), id, version);
+                self.routing_sync
+                    .record_version(now, self.routing.version(), id, version);
             }
             Message::RoutingRequest => {
                 if let Some(table) = self.routing.table() {
@@ -317,7 +318,7 @@
                 }
             }
             Message::Routing(table) => self.take_routing(table, "peer"),
-            Message::DirectoryRequest => self.directory.read_routing(self.news_tx.clone()),
+            Message::DirectoryRequest => self.directory.read_routing(self.directory_tx.clone()),
             Message::Assign(assignment) => {
                 if let Some(entry) = self.entry(id) {
                     self.input(GuardInput::Assign(entry, assignment));
--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -1,4 +1,4 @@
-//! The border between the loops and where the site's state is kept.
+//! Interface between the loops and the store of the site's shared state.
 
 use {
     chestnutrun_types::{DecisionNote, Member, RoutingTable},
@@ -6,53 +6,54 @@
     tokio::sync::mpsc::Sender,
 };
 
-/// A result that comes later, on the same loop.
-pub type Later<T> = Pin<Box<dyn Future<Output = T>>>;
+/// A boxed future that runs on the thread of the loop.
+pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// What a directory tells.
+/// What a directory reports to a loop.
 #[derive(Clone, Debug)]
-pub enum DirectoryNews {
-    /// A version of the routing table.
+pub enum DirectoryEvent {
+    /// A version of the routing table was read.
     Routing(RoutingTable),
-    /// The entries that are recorded.
+    /// All registered entries, after a read.
     Members(Vec<Member>),
-    /// Whether the directory answers.
+    /// The directory became reachable (true) or unreachable (false).
     Reachable(bool),
-    /// What the directory answered, to be logged.
+    /// A decision record about an answer of the directory, for the log.
     Note(DecisionNote),
 }
 
-/// How many calls of one kind ended in one way.
+/// Number of calls to the directory with the same name and outcome.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallCount {
-    /// What was called for.
+    /// Name of the call, as the metrics show it.
     pub call: &'static str,
-    /// How it ended.
+    /// Outcome of the calls, as the metrics show it.
     pub outcome: &'static str,
-    /// How often.
+    /// Number of these calls since the process started.
     pub count: u64,
 }
 
-/// Where operators keep the routing table and entries record themselves.
+/// Store of the routing table, which operators write, and of the entries, which
+/// register themselves.
 ///
-/// Each call goes on by itself and tells the outcome as news; a failure is
-/// logged and tried again where that helps.
+/// A call that takes a sender returns at once and sends its results as events.
+/// An implementation logs failures and retries where a retry helps.
 pub trait Directory: fmt::Debug {
-    /// Follows the routing table until the process ends.
-    fn follow_routing(&self, news: Sender<DirectoryNews>);
+    /// Sends the routing table and its changes until the process ends.
+    fn follow_routing(&self, events: Sender<DirectoryEvent>);
 
     /// Reads the routing table once.
-    fn read_routing(&self, news: Sender<DirectoryNews>);
+    fn read_routing(&self, events: Sender<DirectoryEvent>);
 
-    /// Reads the recorded entries once.
-    fn read_members(&self, news: Sender<DirectoryNews>);
+    /// Reads the registered entries once.
+    fn read_members(&self, events: Sender<DirectoryEvent>);
 
-    /// Records an entry, and reads the others.
-    fn record(&self, member: Member, news: Sender<DirectoryNews>);
+    /// Registers an entry, then reads all registered entries.
+    fn register(&self, member: Member, events: Sender<DirectoryEvent>);
 
-    /// Removes an entry's record.
-    fn remove(&self, member: Member) -> Later<()>;
+    /// Removes an entry's registration.
+    fn deregister(&self, member: Member) -> LocalBoxFuture<()>;
 
-    /// Counts the calls since the process started.
-    fn calls(&self) -> Vec<CallCount>;
+    /// Returns the number of calls since the process started, by name and outcome.
+    fn call_counts(&self) -> Vec<CallCount>;
 }
--- a/crates/dispatch/src/endpoint_orders.rs
+++ b/crates/dispatch/src/endpoint_orders.rs
@@ -1,22 +1,22 @@
-//! The border between an agent and its endpoint.
+//! Interface between an agent and its endpoint.
 
 use {
-    crate::Later,
+    crate::LocalBoxFuture,
     chestnutrun_decisions::guard::{Answer, ListOrder, ListReply, StartOrder, StopOrder},
     std::fmt,
 };
 
 /// Orders to the endpoint beside an agent.
 ///
-/// No order is repeated by an implementation: the guard decides what follows
-/// an answer that did not come.
+/// An implementation never retries: if no answer arrives, the guard decides what
+/// to do next.
 pub trait EndpointOrders: fmt::Debug {
     /// Starts a run.
-    fn start(&self, order: StartOrder) -> Later<Answer<()>>;
+    fn start(&self, order: StartOrder) -> LocalBoxFuture<Answer<()>>;
 
     /// Stops a run.
-    fn stop(&self, order: StopOrder) -> Later<Answer<()>>;
+    fn stop(&self, order: StopOrder) -> LocalBoxFuture<Answer<()>>;
 
-    /// Renews the lease and lists what runs and what ended.
-    fn list(&self, order: ListOrder) -> Later<Answer<ListReply>>;
+    /// Renews the lease and lists the running and ended runs.
+    fn list(&self, order: ListOrder) -> LocalBoxFuture<Answer<ListReply>>;
 }
--- a/crates/dispatch/src/entry_loop.rs
+++ b/crates/dispatch/src/entry_loop.rs
@@ -2,13 +2,13 @@
 
 use {
     crate::{
-        CallerDesk, CallerEvent, Directory, DirectoryNews, DispatchError, SharedRouting,
-        directory_detour::DirectoryDetour,
+        CallerDesk, CallerEvent, Directory, DirectoryEvent, DispatchError, SharedRouting,
+        directory_fallback::DirectoryFallback,
         entry_dialers::{ACCEPTED, EntryDialers, SITE_TOKEN},
         entry_peers::{EntryPeers, Peer},
         recorder::Recorder,
         reload::{SettingsFile, reload},
-        routing_news::RoutingNews,
+        routing_sync::RoutingSync,
     },
     chestnutrun_decisions::placement::{
         CallerId, DispatchAction, DispatchInput, Dispatcher, JobOutcome,
@@ -95,8 +95,8 @@
     dialers: EntryDialers,
     directory: Box<dyn Directory>,
     routing: SharedRouting,
-    news: RoutingNews,
-    detour: DirectoryDetour,
+    routing_sync: RoutingSync,
+    fallback: DirectoryFallback,
     desk: CallerDesk,
     callers: IndexMap<CallerId, oneshot::Sender<JobOutcome>>,
     stop_accepting: Option<oneshot::Sender<()>>,
@@ -117,7 +117,7 @@
         callers: Receiver<CallerEvent>,
     ) -> Result<(), DispatchError> {
         let (link_tx, link_rx) = channel(MAX_QUEUED_EVENTS);
-        let (news_tx, news_rx) = channel(MAX_QUEUED_EVENTS);
+        let (directory_tx, directory_rx) = channel(MAX_QUEUED_EVENTS);
         let ids = LinkIds::default();
         let hello = Hello::Entry(conf.me.clone());
         let own = Some(conf.me.inner);
@@ -132,8 +132,8 @@
                 events: link_tx,
             },
         ));
-        conf.directory.follow_routing(news_tx.clone());
-        conf.directory.record(conf.me.clone(), news_tx);
+        conf.directory.follow_routing(directory_tx.clone());
+        conf.directory.register(conf.me.clone(), directory_tx);
         let this = Self {
             dispatcher: Dispatcher::new(conf.zone),
             recorder: Recorder::new(conf.me.entry.clone()),
@@ -143,22 +143,22 @@
             dialers,
             directory: conf.directory,
             routing: conf.routing,
-            news: RoutingNews::default(),
-            detour: DirectoryDetour::default(),
+            routing_sync: RoutingSync::default(),
+            fallback: DirectoryFallback::default(),
             desk,
             callers: IndexMap::new(),
             stop_accepting: Some(conf.stop_accepting),
             grace: conf.grace,
             leaving: None,
         };
-        this.serve(callers, link_rx, news_rx).await
+        this.serve(callers, link_rx, directory_rx).await
     }
 
     async fn serve(
         mut self,
         mut callers: Receiver<CallerEvent>,
         mut links: Receiver<LinkEvent>,
-        mut news: Receiver<DirectoryNews>,
+        mut directory_events: Receiver<DirectoryEvent>,
     ) -> Result<(), DispatchError> {
         let mut terminate = signal(SignalKind::terminate()).map_err(DispatchError::Signal)?;
         let mut hang_up = signal(SignalKind::hangup()).map_err(DispatchError::Signal)?;
@@ -169,7 +169,7 @@
             tokio::select! {
                 Some(event) = links.recv() => self.link_event(event),
                 Some(event) = callers.recv() => self.caller_event(event),
-                Some(event) = news.recv() => self.directory_news(event),
+                Some(event) = directory_events.recv() => self.handle_directory_event(event),
                 _ = tick.tick() => self.tick(),
                 _ = terminate.recv() => self.leave(),
                 _ = hang_up.recv() => self.reload(),
@@ -202,7 +202,7 @@
             end_by: answer_by + ANSWER_MARGIN,
         });
         self.input(DispatchInput::AnswerBy(answer_by));
-        ntex::rt::spawn(self.directory.remove(self.me.clone()));
+        ntex::rt::spawn(self.directory.deregister(self.me.clone()));
     }
 
     async fn close(self) {
@@ -228,10 +228,13 @@
         self.input(DispatchInput::Tick);
         let linked = self.peers.entry_addresses();
         self.dialers.tidy(now.instant, &linked);
-        if let Some(peer) = self.news.due(now.instant, self.routing.version()) {
+        if let Some(peer) = self
+            .routing_sync
+            .due_request(now.instant, self.routing.version())
+        {
             self.peers.send(peer, Message::RoutingRequest);
         }
-        if let Some(agent) = self.detour.due(now.instant, self.peers.agents()) {
+        if let Some(agent) = self.fallback.due_request(now.instant, self.peers.agents()) {
             self.peers.send_agent(&agent, Message::DirectoryRequest);
         }
         let accept_until = self.leaving.as_ref().map(|leaving| leaving.accept_until);
@@ -288,7 +291,7 @@
                     ("routing-version", self.routing.version()),
                     ("routing-age-seconds", self.routing.age().as_secs()),
                 ];
-                let text = self.recorder.text(&gauges, &self.directory.calls());
+                let text = self.recorder.text(&gauges, &self.directory.call_counts());
                 let _ = reply.send(text);
             }
         }
@@ -298,17 +301,18 @@
         self.leaving.is_none() && self.routing.version() > 0 && self.dispatcher.has_endpoints()
     }
 
-    fn directory_news(&mut self, news: DirectoryNews) {
-        match news {
-            DirectoryNews::Routing(table) => self.take_routing(table, "directory"),
-            DirectoryNews::Members(members) => {
+    fn handle_directory_event(&mut self, event: DirectoryEvent) {
+        match event {
+            DirectoryEvent::Routing(table) => self.take_routing(table, "directory"),
+            DirectoryEvent::Members(members) => {
                 self.dialers.dial_members(Now::read().instant, &members);
             }
-            DirectoryNews::Reachable(is_there) => {
-                self.detour.note_directory(Now::read().instant, is_there);
+            DirectoryEvent::Reachable(is_there) => {
+                self.fallback
+                    .record_directory(Now::read().instant, is_there);
                 self.recorder.dependency("directory", is_there);
             }
-            DirectoryNews::Note(note) => self.recorder.note(Now::read(), note),
+            DirectoryEvent::Note(note) => self.recorder.note(Now::read(), note),
         }
     }
 
@@ -326,7 +330,7 @@
             LinkEvent::Message(id, message) => self.message(id, message),
             LinkEvent::Proven(..) => {}
             LinkEvent::Down(id) => {
-                self.news.down(id);
+                self.routing_sync.remove_peer(id);
                 if let Some(agent) = self.peers.down(id) {
                     self.input(DispatchInput::AgentDown(agent));
                 }
@@ -386,7 +390,8 @@
         match message {
             Message::RoutingVersion(version) => {
                 let now = Now::read().instant;
-                self.news.told(now, self.routing.version(), id, version);
+                self.routing_sync
+                    .record_version(now, self.routing.version(), id, version);
             }
             Message::RoutingRequest => {
                 if let Some(table) = self.routing.table() {
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -8,7 +8,7 @@
 mod agent_loop;
 mod caller_desk;
 mod directory;
-mod directory_detour;
+mod directory_fallback;
 mod endpoint_orders;
 mod entry_dialers;
 mod entry_loop;
@@ -16,13 +16,13 @@
 mod errors;
 mod recorder;
 mod reload;
-mod routing_news;
+mod routing_sync;
 mod shared_routing;
 
 pub use {
     agent_loop::{AgentEvent, AgentLoop, AgentLoopConf},
     caller_desk::{CallerDesk, CallerEvent, JobReply, WaitingCaller},
-    directory::{CallCount, Directory, DirectoryNews, Later},
+    directory::{CallCount, Directory, DirectoryEvent, LocalBoxFuture},
     endpoint_orders::EndpointOrders,
     entry_loop::{EntryLoop, EntryLoopConf},
     errors::DispatchError,
