--- a/crates/dispatch/src/agent_loop.rs
+++ b/crates/dispatch/src/agent_loop.rs
@@ -1,11 +1,11 @@
-//! The loop of an agent that guards one endpoint for all entries.
+//! Event loop of an agent, which runs the tasks of all entries on one endpoint.
 
 use {
     crate::{
         Directory, DirectoryEvent, DispatchError, EndpointOrders, SharedRouting,
         entry_dialers::EntryDialers,
         recorder::Recorder,
-        reload::{SettingsFile, reload},
+        reload::{SettingsFile, reload_settings},
         routing_sync::RoutingSync,
     },
     chestnutrun_decisions::guard::{
@@ -30,48 +30,52 @@
     },
 };
 
-/// How often the guard is told that time passed.
-const TICK: Duration = Duration::from_millis(50);
+/// Time between two ticks of the guard, the log and the dialers.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Most events that wait for the loop.
+/// Most events in each queue of the loop.
 const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// How often an agent without a link asks the directory for entries.
+/// Time between two reads of the entries from the directory, while the agent has
+/// no link to an entry.
 const DIRECTORY_READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time of the platform's grace that is kept for the end of the process.
-const END_MARGIN: Duration = Duration::from_millis(700);
+/// Part of the platform's grace period that is reserved for the exit of the
+/// process.
+const EXIT_MARGIN: Duration = Duration::from_millis(700);
 
-/// How long the last messages get to leave before the process ends.
+/// How long the process waits before its exit, so that the last messages are
+/// sent.
 const LINGER: Duration = Duration::from_millis(100);
 
-/// What an agent's loop waits for, besides links.
+/// Events that the platform's handlers and the endpoint's answers send to an
+/// agent's loop.
 #[derive(Debug)]
 pub enum AgentEvent {
     /// The endpoint announced itself.
     Announced(Announcement),
-    /// The endpoint said that it ended.
+    /// The endpoint reported that it ended.
     Ended(EndpointId),
-    /// An order was answered, or not.
+    /// An order to the endpoint was answered, or its answer did not arrive in time.
     Answered(GuardInput),
-    /// The metrics, as text.
+    /// Reply with the metrics in text format.
     Metrics(oneshot::Sender<String>),
 }
 
-/// What an agent's loop is told at its start.
+/// Settings and interfaces of an agent's loop.
 #[derive(Debug)]
 pub struct AgentLoopConf {
     /// Name of the agent.
     pub agent: AgentId,
-    /// Addresses for links of entries that may exist.
+    /// Link addresses at which entries may run.
     pub seeds: Vec<SocketAddr>,
-    /// Where entries are recorded.
+    /// Store of the registered entries and the routing table.
     pub directory: Box<dyn Directory>,
-    /// The endpoint.
+    /// Sends orders to the endpoint.
     pub orders: Box<dyn EndpointOrders>,
-    /// How long the process may go on after it is told to stop.
+    /// Time between SIGTERM and SIGKILL.
     pub grace: Duration,
-    /// The settings file.
+    /// The settings file, reloaded on SIGHUP.
     pub settings: Box<dyn SettingsFile>,
 }
 
@@ -79,15 +83,17 @@
 #[derive(Debug)]
 struct EntryLink {
     link: Link,
+    /// The entry; none until it sends its hello.
     member: Option<Member>,
 }
 
-/// The loop of an agent that guards one endpoint for all entries.
+/// Event loop of an agent, which runs the tasks of all entries on one endpoint.
 #[derive(Debug)]
 pub struct AgentLoop {
     guard: GuardMachine,
     links: IndexMap<LinkId, EntryLink>,
-    by_entry: IndexMap<EntryId, LinkId>,
+    /// The newest link of each entry.
+    link_by_entry: IndexMap<EntryId, LinkId>,
     dialers: EntryDialers,
     directory: Box<dyn Directory>,
     orders: Box<dyn EndpointOrders>,
@@ -99,14 +105,15 @@
     grace: Duration,
     settings: Box<dyn SettingsFile>,
     recorder: Recorder,
-    end_by: Option<Instant>,
+    /// Time at which the process exits at the latest; none before SIGTERM.
+    exit_by: Option<Instant>,
 }
 
 impl AgentLoop {
-    /// Runs the loop until the process is told to stop.
+    /// Runs the loop until the shutdown that SIGTERM starts is done.
     ///
     /// # Errors
-    /// Returns an error where signals cannot be listened for.
+    /// Returns an error if a signal handler cannot be installed.
     pub async fn run(
         conf: AgentLoopConf,
         events: Sender<AgentEvent>,
@@ -129,7 +136,7 @@
                 first_number: incarnation / 1_000_000,
             }),
             links: IndexMap::new(),
-            by_entry: IndexMap::new(),
+            link_by_entry: IndexMap::new(),
             dialers,
             directory: conf.directory,
             orders: conf.orders,
@@ -139,7 +146,7 @@
             directory_tx,
             read_directory_at: now.instant,
             grace: conf.grace,
-            end_by: None,
+            exit_by: None,
         };
         this.serve(rx, link_rx, directory_rx).await
     }
@@ -152,18 +159,18 @@
     ) -> Result<(), DispatchError> {
         let mut terminate = signal(SignalKind::terminate()).map_err(DispatchError::Signal)?;
         let mut hang_up = signal(SignalKind::hangup()).map_err(DispatchError::Signal)?;
-        let mut tick = interval(TICK);
+        let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        self.recorder.process("started", 0);
+        self.recorder.record_process("started", 0);
         while !self.is_done() {
             let wake_at = self.guard.wake_at(Now::read().instant);
             tokio::select! {
-                Some(event) = rx.recv() => self.event(event),
-                Some(event) = links.recv() => self.link_event(event),
+                Some(event) = rx.recv() => self.handle_event(event),
+                Some(event) = links.recv() => self.handle_link_event(event),
                 Some(event) = directory_events.recv() => self.handle_directory_event(event),
-                () = until(wake_at) => self.input(GuardInput::Tick),
+                () = wait_until(wake_at) => self.handle_input(GuardInput::Tick),
                 _ = tick.tick() => self.tick(),
-                _ = terminate.recv() => self.leave(),
+                _ = terminate.recv() => self.start_shutdown(),
                 _ = hang_up.recv() => self.reload(),
             }
         }
@@ -172,44 +179,47 @@
     }
 
     fn is_done(&self) -> bool {
-        let Some(end_by) = self.end_by else {
+        let Some(exit_by) = self.exit_by else {
             return false;
         };
-        self.guard.is_idle() || end_by <= Now::read().instant
+        self.guard.is_idle() || exit_by <= Now::read().instant
     }
 
-    fn leave(&mut self) {
-        if self.end_by.is_some() {
+    fn start_shutdown(&mut self) {
+        if self.exit_by.is_some() {
             return;
         }
-        self.recorder.process("leaves", self.guard.tasks());
-        self.end_by = Some(Now::read().instant + self.grace.saturating_sub(END_MARGIN));
-        self.input(GuardInput::Leave);
+        self.recorder.record_process("leaves", self.guard.tasks());
+        self.exit_by = Some(Now::read().instant + self.grace.saturating_sub(EXIT_MARGIN));
+        self.handle_input(GuardInput::Leave);
     }
 
     async fn close(self) {
         if !self.guard.is_idle() {
-            log::warn!("{} tasks were cut off", self.guard.tasks());
+            log::warn!(
+                "exiting although {} tasks have not ended",
+                self.guard.tasks()
+            );
         }
         sleep(LINGER).await;
         self.dialers.close();
         let mut recorder = self.recorder;
-        recorder.process("stopped", self.guard.tasks());
+        recorder.record_process("stopped", self.guard.tasks());
         recorder.close();
     }
 
     fn reload(&mut self) {
         let held = self.guard.tasks();
-        let grace = reload(&*self.settings, &mut self.dialers, &mut self.recorder, held);
+        let grace = reload_settings(&*self.settings, &mut self.dialers, &mut self.recorder, held);
         self.grace = grace.unwrap_or(self.grace);
     }
 
     fn tick(&mut self) {
-        self.input(GuardInput::Tick);
-        self.recorder.tick(Now::read());
+        self.handle_input(GuardInput::Tick);
+        self.recorder.flush_if_due(Now::read());
         let now = Now::read().instant;
-        let linked: Vec<SocketAddr> = self.members().map(|member| member.inner).collect();
-        self.dialers.tidy(now, &linked);
+        let linked: Vec<SocketAddr> = self.linked_entries().map(|member| member.inner).collect();
+        self.dialers.drop_unreachable(now, &linked);
         if linked.is_empty() && self.read_directory_at <= now {
             self.read_directory_at = now + DIRECTORY_READ_INTERVAL;
             self.directory.read_members(self.directory_tx.clone());
@@ -219,24 +229,26 @@
         }
     }
 
-    fn members(&self) -> impl Iterator<Item = &Member> {
+    fn linked_entries(&self) -> impl Iterator<Item = &Member> {
         self.links.values().filter_map(|link| link.member.as_ref())
     }
 
-    fn event(&mut self, event: AgentEvent) {
+    fn handle_event(&mut self, event: AgentEvent) {
         match event {
-            AgentEvent::Announced(announcement) => self.input(GuardInput::Announced(announcement)),
-            AgentEvent::Ended(endpoint) => self.input(GuardInput::Ended(endpoint)),
-            AgentEvent::Answered(input) => self.input(input),
+            AgentEvent::Announced(announced) => self.handle_input(GuardInput::Announced(announced)),
+            AgentEvent::Ended(endpoint) => self.handle_input(GuardInput::Ended(endpoint)),
+            AgentEvent::Answered(input) => self.handle_input(input),
             AgentEvent::Metrics(reply) => {
-                // An asker who went away needs no reply.
+                // Sending fails if the request for the metrics was dropped.
                 let gauges = [
                     ("tasks", as_u64(self.guard.tasks())),
-                    ("entry-links", as_u64(self.by_entry.len())),
+                    ("entry-links", as_u64(self.link_by_entry.len())),
                     ("routing-version", self.routing.version()),
                     ("routing-age-seconds", self.routing.age().as_secs()),
                 ];
-                let text = self.recorder.text(&gauges, &self.directory.call_counts());
+                let text = self
+                    .recorder
+                    .metrics_text(&gauges, &self.directory.call_counts());
                 let _ = reply.send(text);
             }
         }
@@ -247,56 +259,56 @@
             DirectoryEvent::Members(members) => {
                 self.dialers.dial_members(Now::read().instant, &members);
             }
-            DirectoryEvent::Reachable(is_there) => self.recorder.dependency("directory", is_there),
-            DirectoryEvent::Note(note) => self.recorder.note(Now::read(), note),
-            DirectoryEvent::Routing(table) => self.take_routing(table, "directory"),
+            DirectoryEvent::Reachable(is_up) => self.recorder.record_dependency("directory", is_up),
+            DirectoryEvent::Note(note) => self.recorder.record(Now::read(), note),
+            DirectoryEvent::Routing(table) => self.update_routing(table, "directory"),
         }
     }
 
-    fn link_event(&mut self, event: LinkEvent) {
+    fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Up(link, _) => {
                 let id = link.id();
                 self.links.insert(id, EntryLink { link, member: None });
                 self.send(id, Message::RoutingVersion(self.routing.version()));
             }
-            LinkEvent::Message(id, message) => self.message(id, message),
+            LinkEvent::Message(id, message) => self.handle_message(id, message),
             LinkEvent::Proven(id, at) => {
-                if let Some(entry) = self.entry(id) {
-                    self.input(GuardInput::Proven(entry, at));
+                if let Some(entry) = self.entry_of_link(id) {
+                    self.handle_input(GuardInput::Proven(entry, at));
                 }
             }
-            LinkEvent::Down(id) => self.link_down(id),
+            LinkEvent::Down(id) => self.handle_link_down(id),
         }
     }
 
-    fn link_down(&mut self, id: LinkId) {
+    fn handle_link_down(&mut self, id: LinkId) {
         self.routing_sync.remove_peer(id);
-        let entry = self.entry(id);
+        let entry = self.entry_of_link(id);
         if let Some(open) = self.links.swap_remove(&id) {
             open.link.close();
         }
         if let Some(entry) = entry {
-            self.by_entry.swap_remove(&entry);
-            self.recorder.dependency("entry-link", false);
-            self.input(GuardInput::LinkDown(entry));
+            self.link_by_entry.swap_remove(&entry);
+            self.recorder.record_dependency("entry-link", false);
+            self.handle_input(GuardInput::LinkDown(entry));
         }
     }
 
-    /// Returns the entry of a link that no newer one replaced.
-    fn entry(&self, id: LinkId) -> Option<EntryId> {
+    /// Returns the entry of a link; none if a newer link of that entry replaced it.
+    fn entry_of_link(&self, id: LinkId) -> Option<EntryId> {
         let member = self.links.get(&id)?.member.as_ref()?;
-        (self.by_entry.get(&member.entry) == Some(&id)).then(|| member.entry.clone())
+        (self.link_by_entry.get(&member.entry) == Some(&id)).then(|| member.entry.clone())
     }
 
-    fn message(&mut self, id: LinkId, message: Message) {
+    fn handle_message(&mut self, id: LinkId, message: Message) {
         match message {
             Message::Hello(Hello::Entry(member)) => {
                 if let Some(open) = self.links.get_mut(&id) {
                     open.member = Some(member.clone());
-                    self.by_entry.insert(member.entry.clone(), id);
-                    self.recorder.dependency("entry-link", true);
-                    self.input(GuardInput::LinkUp(
+                    self.link_by_entry.insert(member.entry.clone(), id);
+                    self.recorder.record_dependency("entry-link", true);
+                    self.handle_input(GuardInput::LinkUp(
                         member.entry,
                         member.incarnation,
                         member.zone,
@@ -317,73 +329,81 @@
                     self.send(id, Message::Routing((*table).clone()));
                 }
             }
-            Message::Routing(table) => self.take_routing(table, "peer"),
+            Message::Routing(table) => self.update_routing(table, "peer"),
             Message::DirectoryRequest => self.directory.read_routing(self.directory_tx.clone()),
             Message::Assign(assignment) => {
-                if let Some(entry) = self.entry(id) {
-                    self.input(GuardInput::Assign(entry, assignment));
+                if let Some(entry) = self.entry_of_link(id) {
+                    self.handle_input(GuardInput::Assign(entry, assignment));
                 }
             }
             Message::Revoke(revocation) => {
-                if let Some(entry) = self.entry(id) {
-                    self.input(GuardInput::Revoke(entry, revocation));
+                if let Some(entry) = self.entry_of_link(id) {
+                    self.handle_input(GuardInput::Revoke(entry, revocation));
                 }
             }
-            other => log::warn!("message {} that is not for an agent", other.kind()),
+            other => log::warn!(
+                "ignored message {}, which is not for an agent",
+                other.kind()
+            ),
         }
     }
 
-    /// Keeps a newer routing table for entries that ask.
-    fn take_routing(&mut self, table: RoutingTable, source: &'static str) {
+    /// Stores a newer routing table, which entries may request, and announces it.
+    fn update_routing(&mut self, table: RoutingTable, source: &'static str) {
         let replaced = self.routing.version();
-        if !self.routing.take(table) {
+        if !self.routing.replace_if_newer(table) {
             return;
         }
         let version = self.routing.version();
-        self.recorder.routing_in_force(version, replaced, source);
+        self.recorder.record_routing(version, replaced, source);
         for id in self.links.keys() {
             self.send(*id, Message::RoutingVersion(version));
         }
     }
 
-    fn input(&mut self, input: GuardInput) {
+    fn handle_input(&mut self, input: GuardInput) {
         for action in self.guard.handle(Now::read(), input) {
-            self.act(action);
+            self.run_action(action);
         }
     }
 
-    fn act(&mut self, action: GuardAction) {
+    fn run_action(&mut self, action: GuardAction) {
         match action {
-            GuardAction::Note(note) => self.recorder.note(Now::read(), note),
+            GuardAction::Note(note) => self.recorder.record(Now::read(), note),
             GuardAction::Send(entry, message) => {
-                if let Some(id) = self.by_entry.get(&entry) {
+                if let Some(id) = self.link_by_entry.get(&entry) {
                     self.send(*id, to_wire(message));
                 }
             }
             GuardAction::Start(order) => {
                 let (endpoint, run) = (order.incarnation, order.run);
                 let answer = self.orders.start(order);
-                self.answer_later(async move { GuardInput::Started(endpoint, run, answer.await) });
+                self.forward_answer(
+                    async move { GuardInput::Started(endpoint, run, answer.await) },
+                );
             }
             GuardAction::Stop(order) => {
                 let (endpoint, run) = (order.incarnation, order.run);
                 let answer = self.orders.stop(order);
-                self.answer_later(async move { GuardInput::Stopped(endpoint, run, answer.await) });
+                self.forward_answer(
+                    async move { GuardInput::Stopped(endpoint, run, answer.await) },
+                );
             }
             GuardAction::List(order) => {
                 let answer = self.orders.list(order.clone());
-                self.answer_later(async move {
+                self.forward_answer(async move {
                     GuardInput::Listed(order.incarnation, order, answer.await)
                 });
             }
         }
     }
 
-    fn answer_later(&self, answer: impl Future<Output = GuardInput> + 'static) {
+    /// Waits for an answer in a task of its own and sends it to the loop.
+    fn forward_answer(&self, answer: impl Future<Output = GuardInput> + 'static) {
         let events = self.events.clone();
         ntex::rt::spawn(async move {
             let event = AgentEvent::Answered(answer.await);
-            // The loop is gone only when the process ends.
+            // Sending fails only when the process ends.
             let _ = events.send(event).await;
         });
     }
@@ -392,7 +412,7 @@
         if let Some(open) = self.links.get(&id)
             && !open.link.send(message)
         {
-            log::debug!("message on a link that closed");
+            log::debug!("could not send a message: its link is closed");
         }
     }
 }
@@ -405,8 +425,8 @@
     }
 }
 
-/// Waits until a moment; for ever where there is none.
-async fn until(at: Option<Instant>) {
+/// Waits until a time, or forever if there is none.
+async fn wait_until(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at.into()).await,
         None => std::future::pending().await,
--- a/crates/dispatch/src/caller_desk.rs
+++ b/crates/dispatch/src/caller_desk.rs
@@ -8,45 +8,46 @@
     tokio::sync::{mpsc::Sender, oneshot},
 };
 
-/// Most characters of a request's host and path that are logged; hosts and
-/// prefixes of routes are shorter.
+/// Longest part of a request's host or path that is logged, in characters. Hosts
+/// and path prefixes of routes are shorter.
 const MAX_LOGGED_CHARACTERS: usize = 128;
 
-/// What callers ask of the loop.
+/// Requests of callers' handlers to the loop.
 #[derive(Debug)]
 pub enum CallerEvent {
-    /// Hold a job and tell its outcome.
+    /// Run a job and reply with its outcome.
     Submit(Submission, oneshot::Sender<JobOutcome>),
-    /// The caller went away.
-    Gone(CallerId),
-    /// Cancel a job; tells whether it was held here.
+    /// The caller disconnected, or has its reply.
+    Disconnected(CallerId),
+    /// Cancel a job; reply whether this entry held it.
     Cancel(JobId, oneshot::Sender<bool>),
-    /// No route has the host and path of a request.
+    /// No route matches the host and path of a request.
     RouteNotFound(String, String),
-    /// How many jobs of a service wait.
-    Waiting(ServiceId, oneshot::Sender<usize>),
-    /// Whether the entry can take jobs.
+    /// Count the waiting jobs of a service.
+    CountWaiting(ServiceId, oneshot::Sender<usize>),
+    /// Reply whether the entry can accept jobs.
     IsReady(oneshot::Sender<bool>),
-    /// The metrics, as text.
+    /// Reply with the metrics in text format.
     Metrics(oneshot::Sender<String>),
 }
 
-/// A reply to a submission that comes later.
+/// The pending reply to a submitted job.
 #[derive(Debug)]
 pub struct JobReply {
     answer: oneshot::Receiver<JobOutcome>,
-    /// Tells the loop when the caller goes away.
+    /// Reports to the loop that the caller disconnected, when the reply is dropped.
     _waiting: WaitingCaller,
 }
 
 impl JobReply {
-    /// Waits for the outcome; none where the loop ended.
+    /// Waits for the outcome; returns none if the loop ended.
     pub async fn wait(self) -> Option<JobOutcome> {
         self.answer.await.ok()
     }
 }
 
-/// A caller that waits; where it is dropped, its job is dropped too.
+/// A caller that waits for its job. When the value is dropped, the loop learns
+/// that the caller disconnected and drops the job if it has not ended.
 #[derive(Debug)]
 pub struct WaitingCaller {
     id: CallerId,
@@ -55,55 +56,64 @@
 
 impl Drop for WaitingCaller {
     fn drop(&mut self) {
-        // Where the queue is full, the job goes on until its deadline.
-        if self.tx.try_send(CallerEvent::Gone(self.id)).is_err() {
-            log::debug!("the loop was not told that caller {} is gone", self.id);
+        // If the queue is full, the job continues until its deadline.
+        if self
+            .tx
+            .try_send(CallerEvent::Disconnected(self.id))
+            .is_err()
+        {
+            log::debug!(
+                "could not report to the loop that caller {} disconnected",
+                self.id
+            );
         }
     }
 }
 
-/// What the handlers of callers' requests share.
+/// Handle through which the handlers of callers' requests reach the loop.
 #[derive(Clone, Debug)]
-pub struct CallerDesk {
+pub struct CallerHandle {
     tx: Sender<CallerEvent>,
-    next: Rc<Cell<CallerId>>,
+    /// Id of the last caller that submitted a job.
+    last_caller: Rc<Cell<CallerId>>,
     is_closing: Rc<Cell<bool>>,
-    /// The routing table in force.
+    /// The current routing table.
     pub routing: SharedRouting,
 }
 
-impl CallerDesk {
-    /// Creates a desk whose requests go to a loop.
+impl CallerHandle {
+    /// Creates a handle that sends its requests to `tx`, the queue of a loop.
     #[must_use]
     pub fn new(tx: Sender<CallerEvent>, routing: SharedRouting) -> Self {
         Self {
             tx,
-            next: Rc::new(Cell::new(0)),
+            last_caller: Rc::new(Cell::new(0)),
             is_closing: Rc::new(Cell::new(false)),
             routing,
         }
     }
 
-    /// Whether callers should open their next connection elsewhere.
+    /// Returns whether responses close their connections, so that callers connect
+    /// to another entry.
     #[must_use]
     pub fn is_closing(&self) -> bool {
         self.is_closing.get()
     }
 
-    /// Has callers open their next connections elsewhere.
+    /// Has all further responses close their connections.
     pub(crate) fn start_closing(&self) {
         self.is_closing.set(true);
     }
 
-    /// Submits a job; none where the loop ended.
+    /// Submits a job; returns none if the loop ended.
     pub async fn submit(
         &self,
         route: Arc<Route>,
         job: BestEffortJob,
         deadline: Instant,
     ) -> Option<JobReply> {
-        let caller = self.next.get() + 1;
-        self.next.set(caller);
+        let caller = self.last_caller.get() + 1;
+        self.last_caller.set(caller);
         let submission = Submission {
             caller,
             route,
@@ -123,42 +133,45 @@
         })
     }
 
-    /// Cancels a job; returns whether it was held here.
+    /// Cancels a job; returns whether this entry held it.
     pub async fn cancel(&self, job: JobId) -> bool {
-        let answer = self.ask(|tx| CallerEvent::Cancel(job, tx)).await;
+        let answer = self.request(|tx| CallerEvent::Cancel(job, tx)).await;
         answer.unwrap_or(false)
     }
 
-    /// Returns the route of a request and the rest of its path; a request
-    /// without one is logged.
+    /// Returns the route of a request and the rest of its path. A request without a
+    /// route is reported to the loop, which logs it.
     #[must_use]
     pub fn find_route<'a>(&self, host: &str, path: &'a str) -> Option<(Arc<Route>, &'a str)> {
-        let found = self.routing.find(host, path);
+        let found = self.routing.find_route(host, path);
         if found.is_none() {
             let event = CallerEvent::RouteNotFound(shorten(host), shorten(path));
             if self.tx.try_send(event).is_err() {
-                log::debug!("the loop was not told of a request without a route");
+                log::debug!("could not report a request without a route to the loop");
             }
         }
         found
     }
 
-    /// Returns how many jobs of a service wait.
-    pub async fn waiting(&self, service: ServiceId) -> Option<usize> {
-        self.ask(|tx| CallerEvent::Waiting(service, tx)).await
+    /// Returns the number of waiting jobs of a service; none if the loop ended.
+    pub async fn count_waiting(&self, service: ServiceId) -> Option<usize> {
+        self.request(|tx| CallerEvent::CountWaiting(service, tx))
+            .await
     }
 
-    /// Whether the entry can take jobs.
+    /// Returns whether the entry can accept jobs.
     pub async fn is_ready(&self) -> bool {
-        self.ask(CallerEvent::IsReady).await.unwrap_or(false)
+        self.request(CallerEvent::IsReady).await.unwrap_or(false)
     }
 
-    /// Returns the metrics, as text; none where the loop ended.
+    /// Returns the metrics in text format; none if the loop ended.
     pub async fn metrics(&self) -> Option<String> {
-        self.ask(CallerEvent::Metrics).await
+        self.request(CallerEvent::Metrics).await
     }
 
-    async fn ask<T>(&self, event: impl FnOnce(oneshot::Sender<T>) -> CallerEvent) -> Option<T> {
+    /// Sends an event with a reply channel and waits for the reply; returns none if
+    /// the loop ended.
+    async fn request<T>(&self, event: impl FnOnce(oneshot::Sender<T>) -> CallerEvent) -> Option<T> {
         let (tx, answer) = oneshot::channel();
         self.tx.send(event(tx)).await.ok()?;
         answer.await.ok()
--- a/crates/dispatch/src/entry_dialers.rs
+++ b/crates/dispatch/src/entry_dialers.rs
@@ -1,4 +1,4 @@
-//! Keeps links open to every entry that is known.
+//! Keeps a link open to every known entry.
 
 use {
     chestnutrun_net::{Dialer, DialerConf, LinkEvent, LinkIds, LinkTiming},
@@ -14,42 +14,45 @@
     tokio::sync::mpsc::Sender,
 };
 
-/// How long an address is dialed without success: longer than an entry needs
-/// to start again, or than most cuts last.
+/// How long an address is dialed without success. It is longer than the restart
+/// of an entry and than most network partitions.
 const DIAL_LIMIT: Duration = Duration::from_secs(20);
 
-/// How links are probed: three probes within the limit after which tasks of a
-/// silent entry are stopped.
-pub(crate) const DIALED: LinkTiming = LinkTiming {
+/// Timing of links that this process opened: three probes within the time after
+/// which the tasks of a silent entry are stopped.
+pub(crate) const DIALED_LINK_TIMING: LinkTiming = LinkTiming {
     probe_interval: Some(Duration::from_millis(180)),
     silence_limit: Duration::from_millis(600),
 };
 
-/// The same for links that others opened: they probe.
-pub(crate) const ACCEPTED: LinkTiming = LinkTiming {
+/// Timing of links that a peer opened: only the peer probes.
+pub(crate) const ACCEPTED_LINK_TIMING: LinkTiming = LinkTiming {
     probe_interval: None,
     silence_limit: Duration::from_millis(600),
 };
 
-/// Links carry no secret: the network of the platform is closed to others.
+/// Token that links present. It is no secret, because only the platform's own
+/// processes can reach its network.
 pub(crate) const SITE_TOKEN: &str = "best-effort";
 
-/// One address that is dialed.
+/// An address that is dialed until it is given up.
 #[derive(Debug)]
-struct Dialed {
+struct DialedAddress {
     dialer: Dialer,
-    /// Moment after which it is given up unless a link opens.
+    /// Time at which the address is given up unless a link is open; none for a
+    /// seed, which is dialed without end.
     give_up_at: Option<Instant>,
 }
 
-/// Keeps links open to every entry that is known.
+/// Keeps a link open to every known entry.
 #[derive(Debug)]
 pub(crate) struct EntryDialers {
     hello: Rc<RefCell<Hello>>,
     ids: LinkIds,
     events: Sender<LinkEvent>,
+    /// Address of this process, which is never dialed; none for an agent.
     own_address: Option<SocketAddr>,
-    dialed: IndexMap<SocketAddr, Dialed>,
+    addresses: IndexMap<SocketAddr, DialedAddress>,
 }
 
 impl EntryDialers {
@@ -64,28 +67,29 @@
             ids,
             events,
             own_address,
-            dialed: IndexMap::new(),
+            addresses: IndexMap::new(),
         }
     }
 
-    /// Dials addresses without end.
+    /// Dials the seeds without end.
     pub(crate) fn dial_seeds(&mut self, seeds: &[SocketAddr]) {
         for seed in seeds {
             self.dial(*seed, None);
         }
     }
 
-    /// Dials entries, each for a limited time.
+    /// Dials entries, each until it had no link for `DIAL_LIMIT`.
     pub(crate) fn dial_members(&mut self, now: Instant, members: &[Member]) {
         for member in members {
             self.dial(member.inner, Some(now + DIAL_LIMIT));
         }
     }
 
-    /// Gives up addresses that had no link for too long.
-    pub(crate) fn tidy(&mut self, now: Instant, linked: &[SocketAddr]) {
+    /// Stops dialing the addresses that had no link for `DIAL_LIMIT`; `linked` are
+    /// the addresses with a link.
+    pub(crate) fn drop_unreachable(&mut self, now: Instant, linked: &[SocketAddr]) {
         let mut given_up = Vec::new();
-        for (address, dialed) in &mut self.dialed {
+        for (address, dialed) in &mut self.addresses {
             let Some(give_up_at) = dialed.give_up_at else {
                 continue;
             };
@@ -96,8 +100,10 @@
             }
         }
         for address in given_up {
-            if let Some(dialed) = self.dialed.swap_remove(&address) {
-                log::info!("no entry at {address} for {DIAL_LIMIT:?}; it is no longer dialed");
+            if let Some(dialed) = self.addresses.swap_remove(&address) {
+                log::info!(
+                    "stopped dialing {address}: no entry was linked there for {DIAL_LIMIT:?}"
+                );
                 dialed.dialer.close();
             }
         }
@@ -105,13 +111,14 @@
 
     /// Closes every link.
     pub(crate) fn close(self) {
-        for (_, dialed) in self.dialed {
+        for (_, dialed) in self.addresses {
             dialed.dialer.close();
         }
     }
 
+    /// Dials an address, unless it is dialed already or belongs to this process.
     fn dial(&mut self, address: SocketAddr, give_up_at: Option<Instant>) {
-        if Some(address) == self.own_address || self.dialed.contains_key(&address) {
+        if Some(address) == self.own_address || self.addresses.contains_key(&address) {
             return;
         }
         let dialer = Dialer::open(DialerConf {
@@ -120,9 +127,10 @@
             site_token: SITE_TOKEN.into(),
             hello: self.hello.clone(),
             ids: self.ids.clone(),
-            timing: DIALED,
+            timing: DIALED_LINK_TIMING,
             events: self.events.clone(),
         });
-        self.dialed.insert(address, Dialed { dialer, give_up_at });
+        self.addresses
+            .insert(address, DialedAddress { dialer, give_up_at });
     }
 }
--- a/crates/dispatch/src/entry_loop.rs
+++ b/crates/dispatch/src/entry_loop.rs
@@ -1,13 +1,13 @@
-//! The loop of an entry that holds best-effort jobs.
+//! Event loop of an entry that holds best-effort jobs.
 
 use {
     crate::{
-        CallerDesk, CallerEvent, Directory, DirectoryEvent, DispatchError, SharedRouting,
+        CallerEvent, CallerHandle, Directory, DirectoryEvent, DispatchError, SharedRouting,
         directory_fallback::DirectoryFallback,
-        entry_dialers::{ACCEPTED, EntryDialers, SITE_TOKEN},
+        entry_dialers::{ACCEPTED_LINK_TIMING, EntryDialers, SITE_TOKEN},
         entry_peers::{EntryPeers, Peer},
         recorder::Recorder,
-        reload::{SettingsFile, reload},
+        reload::{SettingsFile, reload_settings},
         routing_sync::RoutingSync,
     },
     chestnutrun_decisions::placement::{
@@ -33,60 +33,65 @@
     },
 };
 
-/// How often the dispatcher is told that time passed.
-const TICK: Duration = Duration::from_millis(25);
+/// Time between two ticks of the dispatcher, the log and the dialers.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Most events that wait for the loop.
+/// Most events in each queue of the loop.
 const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// How long an entry that leaves still accepts connections: the balancer takes
-/// it out after two looks, one second apart.
-const ACCEPT_WHILE_LEAVING: Duration = Duration::from_millis(2_500);
+/// How long an entry accepts connections after its shutdown began. The load
+/// balancer removes the entry after two failed readiness checks, one second
+/// apart.
+const ACCEPT_DURING_SHUTDOWN: Duration = Duration::from_millis(2_500);
 
-/// How long an entry that leaves waits for requests on open connections after
-/// the last one.
-const QUIET_BEFORE_END: Duration = Duration::from_millis(400);
+/// How long an entry in shutdown waits for another request on its open
+/// connections after the last one.
+const QUIET_BEFORE_EXIT: Duration = Duration::from_millis(400);
 
-/// Time of the platform's grace that is kept for the end of the process.
-const END_MARGIN: Duration = Duration::from_millis(400);
+/// Part of the platform's grace period that is reserved for the exit of the
+/// process.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
-/// How long the last answers get to leave.
+/// Time reserved to send the last answers to callers.
 const ANSWER_MARGIN: Duration = Duration::from_millis(200);
 
-/// What an entry's loop is told at its start.
+/// Settings and interfaces of an entry's loop.
 #[derive(Debug)]
 pub struct EntryLoopConf {
-    /// This entry.
+    /// Registration of this entry.
     pub me: Member,
-    /// Its availability zone.
+    /// Availability zone of this entry.
     pub zone: ZoneId,
-    /// Addresses for links of entries that may exist.
+    /// Link addresses at which entries may run.
     pub seeds: Vec<SocketAddr>,
-    /// Where links are accepted.
+    /// Accepts links of agents and other entries.
     pub listener: TcpListener,
-    /// Where the routing table is kept.
+    /// Store of the registered entries and the routing table.
     pub directory: Box<dyn Directory>,
-    /// The routing table in force, for readers.
+    /// The current routing table, which the loop updates.
     pub routing: SharedRouting,
-    /// Told when callers' connections are no longer accepted.
+    /// Signals during shutdown that no more connections of callers are accepted.
     pub stop_accepting: oneshot::Sender<()>,
-    /// How long the process may go on after it is told to stop.
+    /// Time between SIGTERM and SIGKILL.
     pub grace: Duration,
-    /// The settings file.
+    /// The settings file, reloaded on SIGHUP.
     pub settings: Box<dyn SettingsFile>,
 }
 
-/// A stop that is under way.
+/// Deadlines of a shutdown in progress.
 #[derive(Debug)]
-struct Leaving {
+struct Shutdown {
+    /// Time until which connections of callers are accepted.
     accept_until: Instant,
+    /// Time from which the entry may exit unless another request arrives.
     quiet_at: Instant,
-    /// Moment at which every job that is left gets its answer.
+    /// Time by which every remaining job is answered.
     answer_by: Instant,
-    end_by: Instant,
+    /// Time at which the process exits at the latest.
+    exit_by: Instant,
 }
 
-/// The loop of an entry that holds best-effort jobs.
+/// Event loop of an entry that holds best-effort jobs.
 #[derive(Debug)]
 pub struct EntryLoop {
     me: Member,
@@ -97,23 +102,24 @@
     routing: SharedRouting,
     routing_sync: RoutingSync,
     fallback: DirectoryFallback,
-    desk: CallerDesk,
+    caller_handle: CallerHandle,
+    /// Reply channels of the callers that wait for their jobs.
     callers: IndexMap<CallerId, oneshot::Sender<JobOutcome>>,
     stop_accepting: Option<oneshot::Sender<()>>,
     grace: Duration,
     settings: Box<dyn SettingsFile>,
     recorder: Recorder,
-    leaving: Option<Leaving>,
+    shutdown: Option<Shutdown>,
 }
 
 impl EntryLoop {
-    /// Runs the loop until the process is told to stop.
+    /// Runs the loop until the shutdown that SIGTERM starts is done.
     ///
     /// # Errors
-    /// Returns an error where signals cannot be listened for.
+    /// Returns an error if a signal handler cannot be installed.
     pub async fn run(
         conf: EntryLoopConf,
-        desk: CallerDesk,
+        caller_handle: CallerHandle,
         callers: Receiver<CallerEvent>,
     ) -> Result<(), DispatchError> {
         let (link_tx, link_rx) = channel(MAX_QUEUED_EVENTS);
@@ -128,7 +134,7 @@
             LinkServerConf {
                 site_token: SITE_TOKEN.into(),
                 ids,
-                timing: ACCEPTED,
+                timing: ACCEPTED_LINK_TIMING,
                 events: link_tx,
             },
         ));
@@ -145,11 +151,11 @@
             routing: conf.routing,
             routing_sync: RoutingSync::default(),
             fallback: DirectoryFallback::default(),
-            desk,
+            caller_handle,
             callers: IndexMap::new(),
             stop_accepting: Some(conf.stop_accepting),
             grace: conf.grace,
-            leaving: None,
+            shutdown: None,
         };
         this.serve(callers, link_rx, directory_rx).await
     }
@@ -162,16 +168,16 @@
     ) -> Result<(), DispatchError> {
         let mut terminate = signal(SignalKind::terminate()).map_err(DispatchError::Signal)?;
         let mut hang_up = signal(SignalKind::hangup()).map_err(DispatchError::Signal)?;
-        let mut tick = interval(TICK);
+        let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        self.recorder.process("started", 0);
+        self.recorder.record_process("started", 0);
         while !self.is_done() {
             tokio::select! {
-                Some(event) = links.recv() => self.link_event(event),
-                Some(event) = callers.recv() => self.caller_event(event),
+                Some(event) = links.recv() => self.handle_link_event(event),
+                Some(event) = callers.recv() => self.handle_caller_event(event),
                 Some(event) = directory_events.recv() => self.handle_directory_event(event),
                 _ = tick.tick() => self.tick(),
-                _ = terminate.recv() => self.leave(),
+                _ = terminate.recv() => self.start_shutdown(),
                 _ = hang_up.recv() => self.reload(),
             }
         }
@@ -181,53 +187,56 @@
 
     fn is_done(&self) -> bool {
         let now = Now::read().instant;
-        self.leaving.as_ref().is_some_and(|leaving| {
-            let is_quiet = self.callers.is_empty() && leaving.quiet_at <= now;
-            leaving.end_by <= now || (is_quiet && leaving.accept_until <= now)
+        self.shutdown.as_ref().is_some_and(|shutdown| {
+            let is_quiet = self.callers.is_empty() && shutdown.quiet_at <= now;
+            shutdown.exit_by <= now || (is_quiet && shutdown.accept_until <= now)
         })
     }
 
-    fn leave(&mut self) {
-        if self.leaving.is_some() {
+    fn start_shutdown(&mut self) {
+        if self.shutdown.is_some() {
             return;
         }
         let now = Now::read().instant;
-        self.recorder.process("leaves", self.callers.len());
-        self.desk.start_closing();
-        let answer_by = now + self.grace.saturating_sub(END_MARGIN + ANSWER_MARGIN);
-        self.leaving = Some(Leaving {
-            accept_until: now + ACCEPT_WHILE_LEAVING,
+        self.recorder.record_process("leaves", self.callers.len());
+        self.caller_handle.start_closing();
+        let answer_by = now + self.grace.saturating_sub(EXIT_MARGIN + ANSWER_MARGIN);
+        self.shutdown = Some(Shutdown {
+            accept_until: now + ACCEPT_DURING_SHUTDOWN,
             quiet_at: now,
             answer_by,
-            end_by: answer_by + ANSWER_MARGIN,
+            exit_by: answer_by + ANSWER_MARGIN,
         });
-        self.input(DispatchInput::AnswerBy(answer_by));
+        self.handle_input(DispatchInput::AnswerBy(answer_by));
         ntex::rt::spawn(self.directory.deregister(self.me.clone()));
     }
 
     async fn close(self) {
         if !self.callers.is_empty() {
-            log::warn!("{} jobs were cut off", self.callers.len());
+            log::warn!(
+                "exiting although {} jobs are not answered",
+                self.callers.len()
+            );
         }
         self.dialers.close();
         tokio::task::yield_now().await;
         let mut recorder = self.recorder;
-        recorder.process("stopped", self.callers.len());
+        recorder.record_process("stopped", self.callers.len());
         recorder.close();
     }
 
     fn reload(&mut self) {
         let held = self.callers.len();
-        let grace = reload(&*self.settings, &mut self.dialers, &mut self.recorder, held);
+        let grace = reload_settings(&*self.settings, &mut self.dialers, &mut self.recorder, held);
         self.grace = grace.unwrap_or(self.grace);
     }
 
     fn tick(&mut self) {
         let now = Now::read();
-        self.recorder.tick(now);
-        self.input(DispatchInput::Tick);
+        self.recorder.flush_if_due(now);
+        self.handle_input(DispatchInput::Tick);
         let linked = self.peers.entry_addresses();
-        self.dialers.tidy(now.instant, &linked);
+        self.dialers.drop_unreachable(now.instant, &linked);
         if let Some(peer) = self
             .routing_sync
             .due_request(now.instant, self.routing.version())
@@ -235,36 +244,36 @@
             self.peers.send(peer, Message::RoutingRequest);
         }
         if let Some(agent) = self.fallback.due_request(now.instant, self.peers.agents()) {
-            self.peers.send_agent(&agent, Message::DirectoryRequest);
+            self.peers.send_to_agent(&agent, Message::DirectoryRequest);
         }
-        let accept_until = self.leaving.as_ref().map(|leaving| leaving.accept_until);
+        let accept_until = self.shutdown.as_ref().map(|shutdown| shutdown.accept_until);
         if accept_until.is_some_and(|until| until <= now.instant)
             && let Some(stop) = self.stop_accepting.take()
         {
-            // The front is gone already where nobody takes the signal.
+            // Sending fails if the server for callers has already ended.
             let _ = stop.send(());
         }
     }
 
-    fn caller_event(&mut self, event: CallerEvent) {
-        // An asker who went away needs no reply.
+    fn handle_caller_event(&mut self, event: CallerEvent) {
+        // Sending a reply fails if the handler that requested it was dropped.
         match event {
             CallerEvent::Submit(mut submission, reply) => {
-                if let Some(leaving) = &mut self.leaving {
-                    leaving.quiet_at = Now::read().instant + QUIET_BEFORE_END;
-                    submission.deadline = submission.deadline.min(leaving.answer_by);
+                if let Some(shutdown) = &mut self.shutdown {
+                    shutdown.quiet_at = Now::read().instant + QUIET_BEFORE_EXIT;
+                    submission.deadline = submission.deadline.min(shutdown.answer_by);
                 }
                 self.callers.insert(submission.caller, reply);
-                self.input(DispatchInput::Submit(submission));
+                self.handle_input(DispatchInput::Submit(submission));
             }
-            CallerEvent::Gone(caller) => {
+            CallerEvent::Disconnected(caller) => {
                 if self.callers.swap_remove(&caller).is_some() {
-                    self.input(DispatchInput::Gone(caller));
+                    self.handle_input(DispatchInput::Gone(caller));
                 }
             }
             CallerEvent::Cancel(job, reply) => {
                 let held = self.dispatcher.jobs();
-                self.input(DispatchInput::Cancel(job));
+                self.handle_input(DispatchInput::Cancel(job));
                 let _ = reply.send(self.dispatcher.jobs() < held);
             }
             CallerEvent::RouteNotFound(host, path) => {
@@ -274,9 +283,9 @@
                     path,
                     routing_version,
                 };
-                self.recorder.note(Now::read(), note);
+                self.recorder.record(Now::read(), note);
             }
-            CallerEvent::Waiting(service, reply) => {
+            CallerEvent::CountWaiting(service, reply) => {
                 let _ = reply.send(self.dispatcher.waiting(&service));
             }
             CallerEvent::IsReady(reply) => {
@@ -286,65 +295,67 @@
                 let gauges = [
                     ("jobs-held", as_u64(self.dispatcher.jobs())),
                     ("endpoints", as_u64(self.dispatcher.endpoints())),
-                    ("agent-links", as_u64(self.peers.agent_links())),
+                    ("agent-links", as_u64(self.peers.agent_count())),
                     ("entry-links", as_u64(self.peers.entries().len())),
                     ("routing-version", self.routing.version()),
                     ("routing-age-seconds", self.routing.age().as_secs()),
                 ];
-                let text = self.recorder.text(&gauges, &self.directory.call_counts());
+                let text = self
+                    .recorder
+                    .metrics_text(&gauges, &self.directory.call_counts());
                 let _ = reply.send(text);
             }
         }
     }
 
     fn is_ready(&self) -> bool {
-        self.leaving.is_none() && self.routing.version() > 0 && self.dispatcher.has_endpoints()
+        self.shutdown.is_none() && self.routing.version() > 0 && self.dispatcher.has_endpoints()
     }
 
     fn handle_directory_event(&mut self, event: DirectoryEvent) {
         match event {
-            DirectoryEvent::Routing(table) => self.take_routing(table, "directory"),
+            DirectoryEvent::Routing(table) => self.update_routing(table, "directory"),
             DirectoryEvent::Members(members) => {
                 self.dialers.dial_members(Now::read().instant, &members);
             }
-            DirectoryEvent::Reachable(is_there) => {
+            DirectoryEvent::Reachable(is_reachable) => {
                 self.fallback
-                    .record_directory(Now::read().instant, is_there);
-                self.recorder.dependency("directory", is_there);
+                    .record_directory(Now::read().instant, is_reachable);
+                self.recorder.record_dependency("directory", is_reachable);
             }
-            DirectoryEvent::Note(note) => self.recorder.note(Now::read(), note),
+            DirectoryEvent::Note(note) => self.recorder.record(Now::read(), note),
         }
     }
 
-    fn take_routing(&mut self, table: RoutingTable, source: &'static str) {
+    fn update_routing(&mut self, table: RoutingTable, source: &'static str) {
         let (version, replaced) = (table.version, self.routing.version());
-        if self.routing.take(table) {
-            self.recorder.routing_in_force(version, replaced, source);
+        if self.routing.replace_if_newer(table) {
+            self.recorder.record_routing(version, replaced, source);
             self.peers.send_all(&Message::RoutingVersion(version));
         }
     }
 
-    fn link_event(&mut self, event: LinkEvent) {
+    fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
-            LinkEvent::Up(link, peer) => self.link_up(link, peer),
-            LinkEvent::Message(id, message) => self.message(id, message),
+            LinkEvent::Up(link, peer) => self.handle_link_up(link, peer),
+            LinkEvent::Message(id, message) => self.handle_message(id, message),
             LinkEvent::Proven(..) => {}
             LinkEvent::Down(id) => {
                 self.routing_sync.remove_peer(id);
-                if let Some(agent) = self.peers.down(id) {
-                    self.input(DispatchInput::AgentDown(agent));
+                if let Some(agent) = self.peers.remove(id) {
+                    self.handle_input(DispatchInput::AgentDown(agent));
                 }
             }
         }
     }
 
-    fn link_up(&mut self, link: Link, peer: PeerName) {
+    fn handle_link_up(&mut self, link: Link, peer: PeerName) {
         let id = link.id();
         let peer = match peer {
             PeerName::Accepted(Hello::Guard(hello)) => {
-                // Nothing may be assigned on the new link before the agent told
-                // there what it has.
-                self.input(DispatchInput::AgentDown(hello.agent.clone()));
+                // No task may be assigned over the new link until the agent has
+                // reported its tasks there.
+                self.handle_input(DispatchInput::AgentDown(hello.agent.clone()));
                 Peer::Agent(hello.agent, hello.incarnation)
             }
             PeerName::Accepted(Hello::Entry(member)) => {
@@ -355,7 +366,7 @@
             }
             PeerName::Accepted(Hello::Agent(hello)) => {
                 log::warn!(
-                    "agent {} belongs to a site with owners; its link is closed",
+                    "closed the link of agent {}: it belongs to a site with shard owners",
                     hello.endpoint
                 );
                 link.close();
@@ -364,20 +375,20 @@
             PeerName::Dialed(_) => Peer::Entry(None),
         };
         let is_new_entry = matches!(peer, Peer::Entry(Some(_)));
-        self.peers.up(link, peer);
-        // A link that closed meanwhile reports so by itself.
+        self.peers.add(link, peer);
+        // A closed link reports `LinkEvent::Down`, which removes it.
         self.peers
             .send(id, Message::Hello(Hello::Entry(self.me.clone())));
         self.peers
             .send(id, Message::RoutingVersion(self.routing.version()));
-        self.peers.send(id, self.members());
+        self.peers.send(id, self.member_list());
         if is_new_entry {
-            self.peers.send_all(&self.members());
+            self.peers.send_all(&self.member_list());
         }
     }
 
-    /// Makes the list of entries that are linked.
-    fn members(&self) -> Message {
+    /// Returns the message that lists this entry and the linked entries.
+    fn member_list(&self) -> Message {
         let mut members = self.peers.entries();
         members.push(self.me.clone());
         Message::Members(MemberList {
@@ -386,7 +397,7 @@
         })
     }
 
-    fn message(&mut self, id: LinkId, message: Message) {
+    fn handle_message(&mut self, id: LinkId, message: Message) {
         match message {
             Message::RoutingVersion(version) => {
                 let now = Now::read().instant;
@@ -398,67 +409,85 @@
                     self.peers.send(id, Message::Routing((*table).clone()));
                 }
             }
-            Message::Routing(table) => self.take_routing(table, "peer"),
+            Message::Routing(table) => self.update_routing(table, "peer"),
             message => match self.peers.peer(id).cloned() {
                 Some(Peer::Agent(agent, incarnation)) => {
-                    self.agent_message(agent, incarnation, message);
+                    self.handle_agent_message(agent, incarnation, message);
                 }
-                Some(Peer::Entry(_)) => self.entry_message(id, message),
-                None => log::debug!("message {} on a replaced link", message.kind()),
+                Some(Peer::Entry(_)) => self.handle_entry_message(id, message),
+                None => log::debug!(
+                    "ignored message {} on a closed or replaced link",
+                    message.kind()
+                ),
             },
         }
     }
 
-    fn agent_message(&mut self, agent: chestnutrun_types::AgentId, run: u64, message: Message) {
+    fn handle_agent_message(
+        &mut self,
+        agent: chestnutrun_types::AgentId,
+        incarnation: u64,
+        message: Message,
+    ) {
         let input = match message {
-            Message::Resync(resync) => DispatchInput::AgentUp(agent, run, resync),
+            Message::Resync(resync) => DispatchInput::AgentUp(agent, incarnation, resync),
             Message::Endpoint(info) => DispatchInput::Endpoint(agent, info),
             Message::Update(update) => DispatchInput::Update(agent, update),
             other => {
-                log::warn!("message {} that no agent sends", other.kind());
+                log::warn!("ignored message {}, which no agent sends", other.kind());
                 return;
             }
         };
-        self.input(input);
+        self.handle_input(input);
     }
 
-    fn entry_message(&mut self, id: LinkId, message: Message) {
+    fn handle_entry_message(&mut self, id: LinkId, message: Message) {
         match message {
             Message::Hello(Hello::Entry(member)) => {
-                self.peers.name(id, member);
-                self.peers.send_all(&self.members());
+                self.peers.set_member(id, member);
+                self.peers.send_all(&self.member_list());
             }
             Message::Members(list) => {
                 self.dialers
                     .dial_members(Now::read().instant, &list.members);
             }
-            other => log::warn!("message {} that no entry sends", other.kind()),
+            other => log::warn!("ignored message {}, which no entry sends", other.kind()),
         }
     }
 
-    fn input(&mut self, input: DispatchInput) {
+    fn handle_input(&mut self, input: DispatchInput) {
         for action in self.dispatcher.handle(Now::read(), input) {
-            self.act(action);
+            self.run_action(action);
         }
     }
 
-    fn act(&mut self, action: DispatchAction) {
+    fn run_action(&mut self, action: DispatchAction) {
         match action {
-            DispatchAction::Note(note) => self.recorder.note(Now::read(), note),
+            DispatchAction::Note(note) => self.recorder.record(Now::read(), note),
             DispatchAction::Answer(caller, _, outcome) => {
                 if let Some(reply) = self.callers.swap_remove(&caller) {
-                    // A caller who went away needs no answer.
+                    // Sending fails if the caller disconnected.
                     let _ = reply.send(outcome);
                 }
             }
             DispatchAction::Assign(agent, assignment) => {
-                if !self.peers.send_agent(&agent, Message::Assign(assignment)) {
-                    log::warn!("assignment to agent {agent} was not sent");
+                if !self
+                    .peers
+                    .send_to_agent(&agent, Message::Assign(assignment))
+                {
+                    log::warn!(
+                        "could not send an assignment to agent {agent}: it has no open link"
+                    );
                 }
             }
             DispatchAction::Revoke(agent, revocation) => {
-                if !self.peers.send_agent(&agent, Message::Revoke(revocation)) {
-                    log::debug!("revocation to agent {agent} was not sent");
+                if !self
+                    .peers
+                    .send_to_agent(&agent, Message::Revoke(revocation))
+                {
+                    log::debug!(
+                        "could not send a revocation to agent {agent}: it has no open link"
+                    );
                 }
             }
         }
--- a/crates/dispatch/src/entry_peers.rs
+++ b/crates/dispatch/src/entry_peers.rs
@@ -8,40 +8,42 @@
     std::net::SocketAddr,
 };
 
-/// Who is at the other end of a link.
+/// The process at the other end of a link.
 #[derive(Clone, Debug)]
 pub(crate) enum Peer {
-    /// An agent.
+    /// An agent, with the incarnation that opened the link.
     Agent(AgentId, Incarnation),
-    /// An entry; none while it has not named itself.
+    /// An entry; none until it sends its hello.
     Entry(Option<Member>),
 }
 
 /// Links of an entry to agents and to other entries.
 #[derive(Debug, Default)]
 pub(crate) struct EntryPeers {
-    open: IndexMap<LinkId, (Link, Peer)>,
+    links: IndexMap<LinkId, (Link, Peer)>,
+    /// The newest link of each agent.
     agents: IndexMap<AgentId, LinkId>,
 }
 
 impl EntryPeers {
-    pub(crate) fn up(&mut self, link: Link, peer: Peer) {
+    /// Adds an open link; it replaces an earlier link of the same agent.
+    pub(crate) fn add(&mut self, link: Link, peer: Peer) {
         if let Peer::Agent(agent, _) = &peer {
             self.agents.insert(agent.clone(), link.id());
         }
-        self.open.insert(link.id(), (link, peer));
+        self.links.insert(link.id(), (link, peer));
     }
 
-    /// Notes the name of an entry.
-    pub(crate) fn name(&mut self, id: LinkId, member: Member) {
-        if let Some((_, peer @ Peer::Entry(_))) = self.open.get_mut(&id) {
+    /// Records which entry is at the other end of a link.
+    pub(crate) fn set_member(&mut self, id: LinkId, member: Member) {
+        if let Some((_, peer @ Peer::Entry(_))) = self.links.get_mut(&id) {
             *peer = Peer::Entry(Some(member));
         }
     }
 
-    /// Notes a closed link; returns the agent that is now out of reach.
-    pub(crate) fn down(&mut self, id: LinkId) -> Option<AgentId> {
-        let (link, peer) = self.open.swap_remove(&id)?;
+    /// Removes a closed link; returns the agent that has no link any more.
+    pub(crate) fn remove(&mut self, id: LinkId) -> Option<AgentId> {
+        let (link, peer) = self.links.swap_remove(&id)?;
         link.close();
         let Peer::Agent(agent, _) = peer else {
             return None;
@@ -53,9 +55,10 @@
         Some(agent)
     }
 
-    /// Returns who is at the other end of a link that no newer one replaced.
+    /// Returns the peer of a link; none if a newer link of the same agent replaced
+    /// it.
     pub(crate) fn peer(&self, id: LinkId) -> Option<&Peer> {
-        let (_, peer) = self.open.get(&id)?;
+        let (_, peer) = self.links.get(&id)?;
         let is_present = match peer {
             Peer::Agent(agent, _) => self.agents.get(agent) == Some(&id),
             Peer::Entry(_) => true,
@@ -63,40 +66,42 @@
         is_present.then_some(peer)
     }
 
-    /// Sends a message to an agent; returns false where it is out of reach.
-    pub(crate) fn send_agent(&self, agent: &AgentId, message: Message) -> bool {
+    /// Sends a message to an agent; returns false if it has no open link.
+    pub(crate) fn send_to_agent(&self, agent: &AgentId, message: Message) -> bool {
         self.agents
             .get(agent)
             .is_some_and(|id| self.send(*id, message))
     }
 
+    /// Sends a message on a link; returns false if the link is closed.
     pub(crate) fn send(&self, id: LinkId, message: Message) -> bool {
-        self.open
+        self.links
             .get(&id)
             .is_some_and(|(link, _)| link.send(message))
     }
 
+    /// Sends a message on every link.
     pub(crate) fn send_all(&self, message: &Message) {
-        for (link, _) in self.open.values() {
-            // A link that closed meanwhile reports so by itself.
+        for (link, _) in self.links.values() {
+            // A closed link reports `LinkEvent::Down`, which removes it.
             let _ = link.send(message.clone());
         }
     }
 
-    /// Returns the agents that are linked.
+    /// Returns the linked agents.
     pub(crate) fn agents(&self) -> impl ExactSizeIterator<Item = AgentId> {
         self.agents.keys().cloned()
     }
 
-    /// Returns how many agents are linked.
-    pub(crate) fn agent_links(&self) -> usize {
+    /// Returns the number of linked agents.
+    pub(crate) fn agent_count(&self) -> usize {
         self.agents.len()
     }
 
-    /// Returns the entries that are linked.
+    /// Returns the linked entries, each once.
     pub(crate) fn entries(&self) -> Vec<Member> {
         let mut entries: Vec<Member> = Vec::new();
-        for (_, peer) in self.open.values() {
+        for (_, peer) in self.links.values() {
             if let Peer::Entry(Some(member)) = peer
                 && !entries.iter().any(|known| known.entry == member.entry)
             {
@@ -106,7 +111,7 @@
         entries
     }
 
-    /// Returns the addresses of the entries that are linked.
+    /// Returns the link addresses of the linked entries.
     pub(crate) fn entry_addresses(&self) -> Vec<SocketAddr> {
         self.entries().iter().map(|member| member.inner).collect()
     }
--- a/crates/dispatch/src/errors.rs
+++ b/crates/dispatch/src/errors.rs
@@ -5,7 +5,7 @@
 /// Why a loop cannot run.
 #[derive(Debug, Error)]
 pub enum DispatchError {
-    /// A signal cannot be listened for.
-    #[error("signals cannot be listened for: {0}")]
+    /// The handler of SIGTERM or SIGHUP cannot be installed.
+    #[error("cannot install a signal handler: {0}")]
     Signal(io::Error),
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,9 +1,9 @@
-//! Entries and agents that run best-effort jobs: the loops around the
+//! Event loops of the entries and agents that run best-effort jobs, around the
 //! dispatcher and the guard.
 //!
-//! What they need of a platform stands behind the traits [`Directory`] and
-//! [`EndpointOrders`]; callers and endpoints reach the loops through
-//! [`CallerDesk`] and [`AgentEvent`].
+//! A platform implements the traits [`Directory`], [`EndpointOrders`] and
+//! [`SettingsFile`]. Its request handlers reach an entry's loop through a
+//! [`CallerHandle`] and an agent's loop by sending [`AgentEvent`]s.
 
 mod agent_loop;
 mod caller_desk;
@@ -21,11 +21,11 @@
 
 pub use {
     agent_loop::{AgentEvent, AgentLoop, AgentLoopConf},
-    caller_desk::{CallerDesk, CallerEvent, JobReply, WaitingCaller},
+    caller_desk::{CallerEvent, CallerHandle, JobReply, WaitingCaller},
     directory::{CallCount, Directory, DirectoryEvent, LocalBoxFuture},
     endpoint_orders::EndpointOrders,
     entry_loop::{EntryLoop, EntryLoopConf},
     errors::DispatchError,
-    reload::{Reloaded, SettingsFile},
+    reload::{ReloadedSettings, SettingsFile},
     shared_routing::SharedRouting,
 };
--- a/crates/dispatch/src/recorder.rs
+++ b/crates/dispatch/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Writes decisions down and counts them.
+//! Writes decisions to the decision log and counts them in the metrics.
 
 use {
     crate::CallCount,
@@ -10,10 +10,10 @@
     },
 };
 
-/// How often the log is written out, so that one write carries many lines.
+/// Time between two flushes of the log, so that one write carries many lines.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Writes decisions down and counts them.
+/// Writes decisions to the decision log and counts them in the metrics.
 #[derive(Debug)]
 pub(crate) struct Recorder {
     log: DecisionLog,
@@ -22,11 +22,12 @@
 }
 
 impl Recorder {
-    /// Starts for a process; without metrics where they cannot be set up.
+    /// Creates the recorder of a process; one without metrics if they cannot be set
+    /// up.
     pub(crate) fn new(process: Arc<str>) -> Self {
         let metrics = DispatchMetrics::new();
         if let Err(error) = &metrics {
-            log::error!("no metrics are kept: {error}");
+            log::error!("could not set up metrics, so none are served: {error}");
         }
         Self {
             log: DecisionLog::new(process),
@@ -35,21 +36,23 @@
         }
     }
 
-    pub(crate) fn note(&mut self, now: Now, note: DecisionNote) {
+    /// Logs and counts a decision.
+    pub(crate) fn record(&mut self, now: Now, note: DecisionNote) {
         if let Some(metrics) = &mut self.metrics {
             metrics.count(&note);
         }
         self.log.add(now, note);
     }
 
-    /// Notes what happens to the process itself.
-    pub(crate) fn process(&mut self, news: &'static str, held: usize) {
-        let news = news.into();
-        self.note(Now::read(), DecisionNote::Process { news, held });
+    /// Records an event of the process itself, such as its start; `held` is the
+    /// number of jobs or tasks that it holds.
+    pub(crate) fn record_process(&mut self, event: &'static str, held: usize) {
+        let news = event.into();
+        self.record(Now::read(), DecisionNote::Process { news, held });
     }
 
-    /// Notes that a routing table came into force.
-    pub(crate) fn routing_in_force(
+    /// Records that a new routing table became the current one.
+    pub(crate) fn record_routing(
         &mut self,
         version: RoutingVersion,
         replaced: RoutingVersion,
@@ -61,25 +64,30 @@
             replaced,
             source,
         };
-        self.note(Now::read(), note);
+        self.record(Now::read(), note);
     }
 
-    /// Notes that something was lost or is back.
-    pub(crate) fn dependency(&mut self, name: &'static str, is_there: bool) {
+    /// Records that a dependency was lost or is available again.
+    pub(crate) fn record_dependency(&mut self, name: &'static str, is_there: bool) {
         let name = name.into();
-        self.note(Now::read(), DecisionNote::Dependency { name, is_there });
+        self.record(Now::read(), DecisionNote::Dependency { name, is_there });
     }
 
-    /// Writes the log out where that is due.
-    pub(crate) fn tick(&mut self, now: Now) {
+    /// Flushes the log if the last flush is `FLUSH_INTERVAL` ago.
+    pub(crate) fn flush_if_due(&mut self, now: Now) {
         if self.flush_at.is_none_or(|at| at <= now.instant) {
             self.flush_at = Some(now.instant + FLUSH_INTERVAL);
             self.log.flush();
         }
     }
 
-    /// Returns the metrics as text, with some values of this moment.
-    pub(crate) fn text(&mut self, gauges: &[(&'static str, u64)], calls: &[CallCount]) -> String {
+    /// Returns the metrics in text format, with the present values of `gauges` and
+    /// `calls`; an empty text if metrics could not be set up.
+    pub(crate) fn metrics_text(
+        &mut self,
+        gauges: &[(&'static str, u64)],
+        calls: &[CallCount],
+    ) -> String {
         let Some(metrics) = &mut self.metrics else {
             return String::new();
         };
@@ -90,7 +98,7 @@
             metrics.set(name, *value);
         }
         metrics.show().unwrap_or_else(|error| {
-            log::error!("metrics cannot be shown: {error}");
+            log::error!("could not encode the metrics: {error}");
             String::new()
         })
     }
--- a/crates/dispatch/src/reload.rs
+++ b/crates/dispatch/src/reload.rs
@@ -1,32 +1,32 @@
-//! The border between the loops and the settings file.
+//! Interface between the loops and the settings file.
 
 use {
     crate::{entry_dialers::EntryDialers, recorder::Recorder},
     std::{fmt, net::SocketAddr, time::Duration},
 };
 
-/// What a process takes from its settings while it runs.
+/// Settings that a running process applies when it reloads its settings file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reloaded {
-    /// Addresses for links of entries that may exist.
+pub struct ReloadedSettings {
+    /// Link addresses at which entries may run.
     pub seeds: Vec<SocketAddr>,
-    /// How long the process may go on after it is told to stop.
+    /// Time between SIGTERM and SIGKILL.
     pub grace: Duration,
 }
 
-/// The settings file, read again when the process is told that it changed.
+/// The settings file, which the process reloads on SIGHUP.
 pub trait SettingsFile: fmt::Debug {
     /// Reads and checks the file.
     ///
     /// # Errors
-    /// Returns what is wrong with it; the earlier settings then stay.
-    fn reload(&self) -> Result<Reloaded, String>;
+    /// Returns what is wrong with the file; the process then keeps its settings.
+    fn reload(&self) -> Result<ReloadedSettings, String>;
 }
 
-/// Takes what may change of the settings; bad ones leave all as it is.
+/// Reloads the settings file and dials new seeds; an invalid file changes nothing.
 ///
-/// Returns the new grace.
-pub(crate) fn reload(
+/// Returns the new grace period; none if the file is invalid.
+pub(crate) fn reload_settings(
     settings: &dyn SettingsFile,
     dialers: &mut EntryDialers,
     recorder: &mut Recorder,
@@ -35,12 +35,14 @@
     match settings.reload() {
         Ok(reloaded) => {
             dialers.dial_seeds(&reloaded.seeds);
-            recorder.process("reloaded", held);
+            recorder.record_process("reloaded", held);
             Some(reloaded.grace)
         }
         Err(error) => {
-            log::error!("settings stay as they are: {error}");
-            recorder.process("settings-refused", held);
+            log::error!(
+                "rejected the changed settings file and kept the earlier settings: {error}"
+            );
+            recorder.record_process("settings-refused", held);
             None
         }
     }
--- a/crates/dispatch/src/shared_routing.rs
+++ b/crates/dispatch/src/shared_routing.rs
@@ -1,4 +1,4 @@
-//! The routing table in force, for readers on the same thread.
+//! The current routing table, shared by readers on the same thread.
 
 use {
     chestnutrun_types::{Now, Route, RoutingTable},
@@ -10,34 +10,40 @@
     },
 };
 
-/// The routing table in force; none before the first one came.
+/// The current routing table; none until the first one is received.
 #[derive(Clone, Debug, Default)]
-pub struct SharedRouting(Rc<RefCell<Option<InForce>>>);
+pub struct SharedRouting(Rc<RefCell<Option<CurrentTable>>>);
 
-/// A table with the moment since which it is in force.
+/// A table and the time at which it became the current one.
 #[derive(Clone, Debug)]
-struct InForce {
+struct CurrentTable {
     table: Rc<RoutingTable>,
     since: Instant,
 }
 
 impl SharedRouting {
-    /// Returns the table.
+    /// Returns the current table.
     #[must_use]
     pub fn table(&self) -> Option<Rc<RoutingTable>> {
-        self.0.borrow().as_ref().map(|f| f.table.clone())
+        self.0
+            .borrow()
+            .as_ref()
+            .map(|current| current.table.clone())
     }
 
-    /// Returns the version in force; 0 where there is none.
+    /// Returns the version of the current table; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> u64 {
-        self.0.borrow().as_ref().map_or(0, |f| f.table.version)
+        self.0
+            .borrow()
+            .as_ref()
+            .map_or(0, |current| current.table.version)
     }
 
-    /// Returns for how long the version is in force; zero where there is none.
+    /// Returns how long the table has been the current one; zero if there is none.
     #[must_use]
     pub fn age(&self) -> Duration {
-        let since = self.0.borrow().as_ref().map(|f| f.since);
+        let since = self.0.borrow().as_ref().map(|current| current.since);
         since.map_or(Duration::ZERO, |since| {
             Now::read().instant.saturating_duration_since(since)
         })
@@ -45,18 +51,18 @@
 
     /// Returns the route of a request and the rest of its path.
     #[must_use]
-    pub fn find<'a>(&self, host: &str, path: &'a str) -> Option<(Arc<Route>, &'a str)> {
+    pub fn find_route<'a>(&self, host: &str, path: &'a str) -> Option<(Arc<Route>, &'a str)> {
         let table = self.table()?;
         let route = table.find(host, path)?.clone();
         let rest = path.strip_prefix(&*route.path_prefix)?;
         Some((route, rest))
     }
 
-    /// Takes a newer table; returns false where the present one is as new.
-    pub(crate) fn take(&self, table: RoutingTable) -> bool {
+    /// Replaces the current table if `table` is newer; returns whether it was.
+    pub(crate) fn replace_if_newer(&self, table: RoutingTable) -> bool {
         let is_newer = self.version() < table.version;
         if is_newer {
-            *self.0.borrow_mut() = Some(InForce {
+            *self.0.borrow_mut() = Some(CurrentTable {
                 table: Rc::new(table),
                 since: Now::read().instant,
             });
