--- a/crates/settings/src/address_check.rs
+++ b/crates/settings/src/address_check.rs
@@ -1,11 +1,12 @@
-//! Checks of addresses.
+//! Checks of the addresses in settings.
 
 use std::net::SocketAddr;
 
-/// An address with the key that names it in the settings.
+/// An address and its key in the settings.
 pub(crate) type NamedAddress = (&'static str, SocketAddr);
 
-/// Returns a problem for each address that nobody could connect to.
+/// Returns a problem for each address that no process can connect to: one with
+/// port 0 or with an unspecified IP address.
 pub(crate) fn unreachable(addresses: &[NamedAddress]) -> Vec<String> {
     let mut problems = Vec::new();
     for (key, address) in addresses {
@@ -14,22 +15,23 @@
         }
         if address.ip().is_unspecified() {
             problems.push(format!(
-                "{key}: {address} cannot be connected to; accepted: the IP number of one worker"
+                "{key}: {address} cannot be connected to; accepted: the IP address of one worker"
             ));
         }
     }
     problems
 }
 
-/// Returns a problem for each address without a port to listen on.
+/// Returns a problem for each listening address with port 0, where the system
+/// would choose a port.
 pub(crate) fn without_port(addresses: &[NamedAddress]) -> Vec<String> {
-    let of_port_0 = addresses.iter().filter(|(_, address)| address.port() == 0);
-    of_port_0
+    let with_port_0 = addresses.iter().filter(|(_, address)| address.port() == 0);
+    with_port_0
         .map(|(key, address)| format!("{key}: {address} has port 0; accepted: 1 to 65535"))
         .collect()
 }
 
-/// Returns a problem for each address that stands in two places.
+/// Returns a problem for each address that overlaps with an earlier one.
 pub(crate) fn duplicates(addresses: &[NamedAddress]) -> Vec<String> {
     let mut problems = Vec::new();
     for (i, (key, address)) in addresses.iter().enumerate() {
@@ -43,7 +45,9 @@
     problems
 }
 
+/// Returns true if the ports are equal and the IP addresses are equal too, or one
+/// of them is unspecified and so stands for every address.
 fn overlaps(one: SocketAddr, other: SocketAddr) -> bool {
-    let any = one.ip().is_unspecified() || other.ip().is_unspecified();
-    one.port() == other.port() && (any || one.ip() == other.ip())
+    let is_any = one.ip().is_unspecified() || other.ip().is_unspecified();
+    one.port() == other.port() && (is_any || one.ip() == other.ip())
 }
--- a/crates/settings/src/agent_conf.rs
+++ b/crates/settings/src/agent_conf.rs
@@ -1,7 +1,7 @@
 //! Settings of an agent.
 
 use {
-    crate::{Conf, LogConf, address_check, checks, entry_conf::STOP_WITHIN},
+    crate::{Conf, LogConf, address_check, checks, entry_conf::STOP_WITHIN_RANGE},
     serde::{Deserialize, Serialize},
     std::{net::SocketAddr, path::PathBuf, time::Duration},
 };
@@ -10,24 +10,26 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentConf {
-    /// Name of the endpoint beside the agent, unique in the site.
+    /// Name of the endpoint beside the agent, unique within the site.
     pub endpoint: String,
-    /// Availability zone that it runs in.
+    /// Availability zone that the endpoint and its agent run in.
     pub zone: String,
-    /// Address of the endpoint.
+    /// Address at which the agent reaches the endpoint.
     pub endpoint_address: SocketAddr,
-    /// Slots of the endpoint.
+    /// Number of tasks that the endpoint can run at once.
     pub slots: u32,
-    /// Most connections to the endpoint.
+    /// Maximum number of connections to the endpoint; at least one for each slot.
     pub connections: u32,
-    /// Addresses of entries, or of a balancer before them, to begin with.
+    /// Addresses of entries, or of a load balancer before them, that the agent
+    /// connects to first.
     pub entries: Vec<SocketAddr>,
-    /// Address for operators: health and metrics.
+    /// Address that the agent listens on for operators: health and metrics.
     pub operators: SocketAddr,
-    /// Shard whose owner may use the endpoint.
+    /// Shard that the endpoint belongs to; only the shard's owner places tasks on
+    /// the endpoint.
     #[serde(default)]
     pub shard: u32,
-    /// File with the secret that the site's processes share.
+    /// File with the secret by which the site's processes authenticate each other.
     pub site_token_file: PathBuf,
     /// Longest time that a planned stop may take.
     #[serde(default = "half_a_minute", with = "humantime_serde")]
@@ -52,13 +54,13 @@
         checks::at_least(&mut problems, "connections", slots, connections);
         checks::at_least(&mut problems, "entries", 1, self.entries.len());
         let stop_within = self.stop_within;
-        checks::within(&mut problems, "stop_within", STOP_WITHIN, stop_within);
-        let listened = [("operators", self.operators)];
+        checks::within(&mut problems, "stop_within", STOP_WITHIN_RANGE, stop_within);
+        let listening = [("operators", self.operators)];
         let mut dialed = vec![("endpoint_address", self.endpoint_address)];
         dialed.extend(self.entries.iter().map(|address| ("entries", *address)));
-        problems.extend(address_check::without_port(&listened));
+        problems.extend(address_check::without_port(&listening));
         problems.extend(address_check::unreachable(&dialed));
-        dialed.extend(listened);
+        dialed.extend(listening);
         problems.extend(address_check::duplicates(&dialed));
         problems
     }
--- a/crates/settings/src/byte_size.rs
+++ b/crates/settings/src/byte_size.rs
@@ -1,4 +1,4 @@
-//! Sizes with a unit.
+//! Sizes in bytes, written with a unit.
 
 use {
     serde::{Deserialize, Serialize},
@@ -6,7 +6,8 @@
     thiserror::Error,
 };
 
-/// Units with their sizes in bytes, the largest first.
+/// Units and their sizes in bytes, the largest first, so that formatting picks
+/// the largest unit that divides a size.
 const UNITS: [(&str, usize); 6] = [
     ("GiB", 1 << 30),
     ("MiB", 1 << 20),
@@ -21,7 +22,8 @@
 #[serde(into = "String", try_from = "String")]
 pub struct ByteSize(usize);
 
-/// A size is not a whole number with a unit.
+/// Error of parsing a text that is not a whole number with a unit, or is too
+/// large.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 #[error(
     "a size is a whole number with a unit (B, kB, MB, KiB, MiB, GiB), such as `8MiB`, not `{0}`"
@@ -29,7 +31,7 @@
 pub struct ByteSizeError(String);
 
 impl ByteSize {
-    /// Returns a size of that many mebibytes.
+    /// Creates a size of `count` mebibytes.
     #[must_use]
     pub const fn mebibytes(count: usize) -> Self {
         Self(count << 20)
@@ -46,14 +48,14 @@
     type Err = ByteSizeError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let wrong = || ByteSizeError(text.to_owned());
+        let error = || ByteSizeError(text.to_owned());
         let end = text.find(|c: char| !c.is_ascii_digit());
-        let (digits, unit) = text.split_at(end.ok_or_else(wrong)?);
-        let count: usize = digits.parse().map_err(|_| wrong())?;
+        let (digits, unit) = text.split_at(end.ok_or_else(error)?);
+        let count: usize = digits.parse().map_err(|_| error())?;
         let unit = unit.trim_start();
         let found = UNITS.iter().find(|(name, _)| *name == unit);
-        let (_, bytes) = found.ok_or_else(wrong)?;
-        count.checked_mul(*bytes).map(Self).ok_or_else(wrong)
+        let (_, bytes) = found.ok_or_else(error)?;
+        count.checked_mul(*bytes).map(Self).ok_or_else(error)
     }
 }
 
--- a/crates/settings/src/entry_conf.rs
+++ b/crates/settings/src/entry_conf.rs
@@ -10,48 +10,48 @@
     std::{net::SocketAddr, path::PathBuf, time::Duration},
 };
 
-/// Which policy chooses what runs next.
+/// Policy by which the entry chooses the next task to run.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyName {
-    /// First come, first served.
+    /// Tasks run in the order of their arrival.
     FirstCome,
-    /// A queue at each endpoint, chosen at random.
+    /// Each task joins the queue of an endpoint chosen at random.
     RandomEndpoint,
-    /// A queue at each endpoint, chosen in turn.
+    /// Each task joins the queue of the next endpoint in turn.
     RoundRobin,
-    /// Short tasks before long ones, contracts by their shares.
+    /// Short tasks run before long ones; contracts get slots by their shares.
     #[default]
     SizeAware,
-    /// A fixed part of the slots for each contract.
+    /// Each contract has a fixed part of the slots.
     StaticShares,
 }
 
-/// Least and longest time that a planned stop may take.
-pub(crate) const STOP_WITHIN: (Duration, Duration) =
+/// Accepted range of `stop_within`.
+pub(crate) const STOP_WITHIN_RANGE: (Duration, Duration) =
     (Duration::from_secs(1), Duration::from_hours(1));
 
-/// Least and longest time that may be set for a part of a request.
-const REQUEST_TIMES: (Duration, Duration) = (Duration::from_secs(1), Duration::from_mins(10));
+/// Accepted range of the time limits of a request.
+const REQUEST_TIME_RANGE: (Duration, Duration) = (Duration::from_secs(1), Duration::from_mins(10));
 
-/// Least number of headers that must be allowed; common clients send as many.
-const LEAST_HEADERS: usize = 8;
+/// Minimum of `limits.headers`; common clients send this many headers.
+const MIN_HEADERS: usize = 8;
 
-/// Limits of callers' requests.
+/// Limits of HTTP requests from callers.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RequestLimits {
-    /// Longest body, with a unit.
+    /// Maximum size of a request body.
     pub body_size: ByteSize,
-    /// Most headers.
+    /// Maximum number of headers of different names.
     pub headers: usize,
-    /// Longest time for the head of a request.
+    /// Time within which the whole head of a request has to arrive.
     #[serde(with = "humantime_serde")]
     pub head_timeout: Duration,
-    /// Longest time for the body of a request.
+    /// Time within which the whole body of a request has to arrive.
     #[serde(with = "humantime_serde")]
     pub body_timeout: Duration,
-    /// Longest time that a request waits for its answer.
+    /// Longest time that a request may wait for a job's answer.
     #[serde(with = "humantime_serde")]
     pub longest_wait: Duration,
 }
@@ -72,39 +72,38 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryConf {
-    /// Name of the entry, unique in the site.
+    /// Name of the entry, unique within the site.
     pub name: String,
-    /// Availability zone that it runs in.
+    /// Availability zone that the entry runs in.
     pub zone: String,
-    /// Address for callers.
+    /// Address that the entry listens on for callers.
     pub callers: SocketAddr,
-    /// Address for operators.
+    /// Address that the entry listens on for operators.
     pub operators: SocketAddr,
-    /// Address for agents and other entries.
+    /// Address that the entry listens on for agents and other entries.
     pub inner: SocketAddr,
-    /// Address under which agents and other entries reach `inner`, where that
-    /// differs.
+    /// Address that agents and other entries connect to; `inner` if none is set.
     #[serde(default)]
     pub announced_inner: Option<SocketAddr>,
     /// Address of the platform's table.
     pub table: SocketAddr,
-    /// File with the secret that the site's processes share.
+    /// File with the secret by which the site's processes authenticate each other.
     pub site_token_file: PathBuf,
-    /// File with the token of operators.
+    /// File with the token that operators' requests carry.
     pub operator_token_file: PathBuf,
-    /// TLS towards callers; none serves plain HTTP.
+    /// TLS for callers; plain HTTP is served if none is set.
     #[serde(default)]
     pub callers_tls: Option<TlsConf>,
-    /// TLS towards operators; none serves plain HTTP.
+    /// TLS for operators; plain HTTP is served if none is set.
     #[serde(default)]
     pub operators_tls: Option<TlsConf>,
-    /// Number of shards of the site.
+    /// Number of shards of the site, the same at every entry.
     #[serde(default = "one_shard")]
     pub shards: u32,
-    /// Which policy chooses what runs next.
+    /// Policy by which the entry chooses the next task to run.
     #[serde(default)]
     pub policy: PolicyName,
-    /// Limits of callers' requests.
+    /// Limits of HTTP requests from callers.
     #[serde(default)]
     pub limits: RequestLimits,
     /// Longest time that a planned stop may take.
@@ -130,21 +129,23 @@
         checks::name(&mut problems, "zone", &self.zone);
         checks::at_least(&mut problems, "shards", 1, self.shards as usize);
         let stop_within = self.stop_within;
-        checks::within(&mut problems, "stop_within", STOP_WITHIN, stop_within);
+        checks::within(&mut problems, "stop_within", STOP_WITHIN_RANGE, stop_within);
         self.limits.check(&mut problems);
-        let listened = [("callers", self.callers), ("operators", self.operators)];
-        let own = [listened[0], listened[1], ("inner", self.inner)];
-        problems.extend(address_check::without_port(&own));
-        problems.extend(address_check::unreachable(&self.dialed()));
+        let http = [("callers", self.callers), ("operators", self.operators)];
+        let listening = [http[0], http[1], ("inner", self.inner)];
+        problems.extend(address_check::without_port(&listening));
+        problems.extend(address_check::unreachable(&self.dialed_addresses()));
         let table = ("table", self.table);
-        problems.extend(address_check::duplicates(&[&own[..], &[table]].concat()));
+        problems.extend(address_check::duplicates(
+            &[&listening[..], &[table]].concat(),
+        ));
         problems
     }
 }
 
 impl EntryConf {
-    /// Addresses that this or another process connects to.
-    fn dialed(&self) -> [NamedAddress; 2] {
+    /// Returns the addresses that this or another process connects to.
+    fn dialed_addresses(&self) -> [NamedAddress; 2] {
         let inner = match self.announced_inner {
             Some(announced) => ("announced_inner", announced),
             None => ("inner", self.inner),
@@ -154,16 +155,17 @@
 }
 
 impl RequestLimits {
+    /// Adds a problem for each limit that is out of its accepted range.
     fn check(&self, problems: &mut Vec<String>) {
         checks::at_least(problems, "limits.body_size", 1, self.body_size.bytes());
-        checks::at_least(problems, "limits.headers", LEAST_HEADERS, self.headers);
+        checks::at_least(problems, "limits.headers", MIN_HEADERS, self.headers);
         let times = [
             ("limits.head_timeout", self.head_timeout),
             ("limits.body_timeout", self.body_timeout),
             ("limits.longest_wait", self.longest_wait),
         ];
         for (key, value) in times {
-            checks::within(problems, key, REQUEST_TIMES, value);
+            checks::within(problems, key, REQUEST_TIME_RANGE, value);
         }
     }
 }
--- a/crates/settings/src/errors.rs
+++ b/crates/settings/src/errors.rs
@@ -1,41 +1,42 @@
-//! Errors of settings.
+//! Errors of reading and checking settings.
 
 use {
     std::path::{Path, PathBuf},
     thiserror::Error,
 };
 
-/// Why a settings file cannot be used.
+/// Error of loading a settings file.
 #[derive(Debug, Error)]
 pub enum ConfError {
-    /// The file cannot be read.
-    #[error("{path}: cannot be read: {source}", path = .path.display())]
+    /// The file could not be read.
+    #[error("{path}: cannot read the settings file: {source}", path = .path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is no valid YAML, or a key or value is wrong.
+    /// The file is not valid YAML, or a key is unknown, missing or duplicate, or a
+    /// value has the wrong type.
     #[error("{path}: {message}", path = .path.display())]
     Parse {
         /// The file.
         path: PathBuf,
-        /// What is wrong, with line and column.
+        /// Message of the parser, with line and column.
         message: String,
     },
-    /// The values do not fit together.
-    #[error("{}", lines(.path, .problems))]
+    /// Values are outside the accepted ranges or contradict each other.
+    #[error("{}", problem_lines(.path, .problems))]
     Check {
         /// The file.
         path: PathBuf,
-        /// Every rule that is broken, with its key and the accepted values.
+        /// One text for each problem, with the key and the accepted values.
         problems: Vec<String>,
     },
 }
 
-/// Puts each problem on a line of its own.
-fn lines(path: &Path, problems: &[String]) -> String {
+/// Formats the problems, each on a line of its own after the file's path.
+fn problem_lines(path: &Path, problems: &[String]) -> String {
     let lines: Vec<String> = problems
         .iter()
         .map(|problem| format!("{}: {problem}", path.display()))
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings of the daemons: YAML files, checked as a whole before anything
-//! starts.
+//! Settings of the daemons, read from YAML files. A file is checked as a whole
+//! before the daemon starts, and all problems are reported together.
 
 mod address_check;
 mod agent_conf;
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -6,16 +6,18 @@
     std::{fs, path::Path},
 };
 
-/// Settings of one daemon.
+/// Settings of one program, read from a YAML file.
 pub trait Conf: DeserializeOwned {
-    /// Returns every rule that the values break together.
+    /// Checks the values and returns a text for each problem, with the key and the
+    /// accepted values.
     fn problems(&self) -> Vec<String>;
 }
 
-/// Reads a settings file.
+/// Reads and checks a settings file.
 ///
 /// # Errors
-/// Returns an error that names the file and all that is wrong with it.
+/// Returns an error if the file cannot be read or parsed, or if its values have
+/// problems; the error names the file and all of them.
 pub fn load<C: Conf>(path: impl AsRef<Path>) -> Result<C, ConfError> {
     let path = path.as_ref();
     let text = fs::read_to_string(path).map_err(|source| ConfError::Read {
--- a/crates/settings/src/log_conf.rs
+++ b/crates/settings/src/log_conf.rs
@@ -5,15 +5,15 @@
     serde::{Deserialize, Serialize},
 };
 
-/// How much is logged.
+/// Level of the log: messages of this and of more severe levels are logged.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Nothing.
+    /// Nothing is logged.
     Off,
-    /// Broken invariants and lost service.
+    /// Broken invariants and loss of service.
     Error,
-    /// What an operator should look at.
+    /// Conditions that an operator should look into.
     Warn,
     /// Changes of state.
     #[default]
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogConf {
-    /// Least important level that is logged.
+    /// Least severe level that is logged.
     pub level: LogLevel,
 }
 
--- a/crates/settings/tests/examples.rs
+++ b/crates/settings/tests/examples.rs
@@ -1,4 +1,4 @@
-//! Every example of the repository is valid.
+//! Loads every example of settings in the repository.
 
 use {
     chestnutrun_settings::{AgentConf, EntryConf, load},
--- a/crates/settings/tests/problems.rs
+++ b/crates/settings/tests/problems.rs
@@ -1,4 +1,4 @@
-//! What is said about wrong settings.
+//! Error messages about wrong settings.
 
 use {
     chestnutrun_settings::{AgentConf, ByteSize, Conf, EntryConf, load},
@@ -13,22 +13,25 @@
 const ENTRY: &str = include_str!("../../../examples/entry.yaml");
 const AGENT: &str = include_str!("../../../examples/agent.yaml");
 
-/// Numbers the files, since tests run beside one another.
-static FILES: AtomicU32 = AtomicU32::new(0);
+/// Number of the next file. Tests run in parallel, so each uses its own file.
+static NEXT_FILE: AtomicU32 = AtomicU32::new(0);
 
-/// Loads an example in which one text was replaced, and returns what is said.
+/// Loads an example with one text replaced and returns the error message.
 fn problem<C: Conf>(name: &str, example: &str, from: &str, to: &str) -> String {
     assert!(example.contains(from), "the example has no {from}");
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_FILE.fetch_add(1, Ordering::Relaxed);
     let file = format!(
         "chestnutrun-settings-{}-{number}-{name}.yaml",
         std::process::id()
     );
     let path: PathBuf = std::env::temp_dir().join(file);
-    fs::write(&path, example.replacen(from, to, 1)).expect("it can be written");
+    fs::write(&path, example.replacen(from, to, 1)).expect("the file can be written");
     let loaded = load::<C>(&path);
-    fs::remove_file(&path).expect("it can be removed");
-    let text = loaded.err().expect("it is wrong").to_string();
+    fs::remove_file(&path).expect("the file can be removed");
+    let text = loaded
+        .err()
+        .expect("loading the changed example fails")
+        .to_string();
     assert!(text.contains(&path.display().to_string()), "{text}");
     text
 }
@@ -47,10 +50,10 @@
 #[case::zero("shards: 1", "shards: 0", &["shards: 0 is too low; accepted: 1 or more"])]
 #[case::name("name: entry-1", "name: \"a b\"", &["name: `a b`", "accepted"])]
 #[case::range("head_timeout: 5s", "head_timeout: 1ms", &["limits.head_timeout: 1ms is out of range; accepted: 1s to 600s"])]
-fn a_wrong_entry_is_explained(#[case] from: &str, #[case] to: &str, #[case] said: &[&str]) {
+fn a_wrong_entry_is_explained(#[case] from: &str, #[case] to: &str, #[case] expected: &[&str]) {
     let name = format!("{}-{}", from.len(), to.len());
     let text = problem::<EntryConf>(&name, ENTRY, from, to);
-    for part in said {
+    for part in expected {
         assert!(text.contains(part), "{part:?} is not in {text}");
     }
 }
@@ -71,10 +74,10 @@
     "\"0.0.0.0:8000\"",
     "endpoint_address: 0.0.0.0:8000 cannot"
 )]
-fn a_wrong_agent_is_explained(#[case] from: &str, #[case] to: &str, #[case] said: &str) {
+fn a_wrong_agent_is_explained(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let name = format!("agent-{}-{}", from.len(), to.len());
     let text = problem::<AgentConf>(&name, AGENT, from, to);
-    assert!(text.contains(said), "{said:?} is not in {text}");
+    assert!(text.contains(expected), "{expected:?} is not in {text}");
 }
 
 #[rstest]
@@ -101,7 +104,7 @@
 #[case("8MiB", 8 << 20)]
 #[case("1GiB", 1 << 30)]
 fn a_size_is_read_and_written(#[case] text: &str, #[case] bytes: usize) {
-    let size: ByteSize = text.parse().expect("it is a size");
+    let size: ByteSize = text.parse().expect("the text is a valid size");
     assert_eq!(size.bytes(), bytes);
     assert_eq!(size.to_string(), text);
 }
