--- a/crates/cli/src/arguments/caller_options.rs
+++ b/crates/cli/src/arguments/caller_options.rs
@@ -1,4 +1,4 @@
-//! Options of every command, and of callers' commands.
+//! Options of every command, and options of callers' commands.
 
 use {
     bpaf::Bpaf,
@@ -7,11 +7,12 @@
 
 /// Options of every command.
 #[derive(Bpaf, Clone, Debug)]
-pub struct Common {
+#[bpaf(generate(common))]
+pub struct CommonOptions {
     /// Settings file with addresses and token files, in YAML.
     #[bpaf(long, env("CHESTNUTRUN_CONF"), argument("FILE"), optional, complete_shell(bpaf::ShellComp::File { mask: None }))]
     pub conf: Option<PathBuf>,
-    /// Print JSON.
+    /// Print JSON instead of text.
     #[bpaf(long, switch)]
     pub json: bool,
 }
@@ -22,7 +23,7 @@
     /// Contract of the job.
     #[bpaf(long, env("CHESTNUTRUN_CONTRACT"), argument("CONTRACT"))]
     pub contract: String,
-    /// Address of an entry for callers.
+    /// Address of an entry, or of a load balancer before the entries, for callers.
     #[bpaf(long, env("CHESTNUTRUN_CALLERS"), argument("ADDRESS"), optional)]
     pub callers: Option<SocketAddr>,
     /// File with the contract's token.
--- a/crates/cli/src/arguments/command.rs
+++ b/crates/cli/src/arguments/command.rs
@@ -1,8 +1,8 @@
-//! Commands.
+//! Commands of the command line.
 
 use {
     crate::arguments::{
-        CallerOptions, Common, ContractTerms, ExplainOptions, JobSource, OperatorOptions,
+        CallerOptions, CommonOptions, ContractTerms, ExplainOptions, JobSource, OperatorOptions,
         TimelineOptions,
         caller_options::{caller_options, common},
         contract_terms::contract_terms,
@@ -16,13 +16,13 @@
     std::path::PathBuf,
 };
 
-/// Longest wait for an answer where none is given.
+/// Default of `submit --wait`.
 const DEFAULT_WAIT: std::time::Duration = std::time::Duration::from_mins(1);
 
-/// Meaning of the exit codes, for the help.
+/// Meaning of the exit codes, at the end of the help text.
 const EXIT_CODES: &str = "Exit codes: 0 done; 1 the job ended, but not every task completed; 2 wrong \
-    arguments, settings or file; 3 refused; 4 a change met a newer one; 5 no \
-    answer, or one that claims nothing: ask again; 6 the job goes on.";
+    arguments, settings or file; 3 refused; 4 another change was made \
+    first; 5 no answer, or one that leaves open what happened: ask again; 6 the job has not ended.";
 
 /// Submits jobs to chestnutrun and operates its sites.
 #[derive(Bpaf, Clone, Debug)]
@@ -31,31 +31,31 @@
     /// Submit a job and wait for its answer.
     #[bpaf(command)]
     Submit {
-        /// Contract, address and token
+        /// Contract, address of an entry, and the contract's token
         #[bpaf(external(caller_options))]
         caller: CallerOptions,
-        /// Settings and output
+        /// Settings file and output format
         #[bpaf(external)]
-        common: Common,
-        /// Key of the job; the same key never runs twice. Made up where none is given.
+        common: CommonOptions,
+        /// Key of the job; a job with the same key never runs twice. Generated if not given.
         #[bpaf(long, argument("KEY"), optional)]
         key: Option<String>,
-        /// Longest wait for the answer; 0s to wait for the receipt alone.
+        /// Longest wait for the answer; 0s waits only until the job is accepted.
         #[bpaf(long, argument("TIME"), fallback(DEFAULT_WAIT.into()), display_fallback)]
         wait: Duration,
-        /// The job
+        /// Body of the job
         #[bpaf(external(job_source))]
         source: JobSource,
     },
-    /// Show a job's answer or its state.
+    /// Show a job's answer, or its state if it has not ended.
     #[bpaf(command)]
     Result {
-        /// Contract, address and token
+        /// Contract, address of an entry, and the contract's token
         #[bpaf(external(caller_options))]
         caller: CallerOptions,
-        /// Settings and output
+        /// Settings file and output format
         #[bpaf(external)]
-        common: Common,
+        common: CommonOptions,
         /// Longest wait for the answer.
         #[bpaf(long, argument("TIME"), fallback(std::time::Duration::ZERO.into()), display_fallback)]
         wait: Duration,
@@ -63,15 +63,15 @@
         #[bpaf(positional("KEY"))]
         key: String,
     },
-    /// Cancel what has not started of a job.
+    /// Cancel the tasks of a job that have not started.
     #[bpaf(command)]
     Cancel {
-        /// Contract, address and token
+        /// Contract, address of an entry, and the contract's token
         #[bpaf(external(caller_options))]
         caller: CallerOptions,
-        /// Settings and output
+        /// Settings file and output format
         #[bpaf(external)]
-        common: Common,
+        common: CommonOptions,
         /// Key of the job.
         #[bpaf(positional("KEY"))]
         key: String,
@@ -79,52 +79,52 @@
     /// List, show, create or change contracts.
     #[bpaf(command)]
     Contract(#[bpaf(external(contract_command))] ContractCommand),
-    /// Give an endpoint no new work.
+    /// Drain an endpoint: it gets no new tasks, and running ones end.
     #[bpaf(command)]
     Drain {
-        /// Processes of the site and the token
+        /// Addresses of the site's processes, and the operators' token
         #[bpaf(external(operator_options))]
         operator: OperatorOptions,
-        /// Settings and output
+        /// Settings file and output format
         #[bpaf(external)]
-        common: Common,
-        /// Endpoint.
+        common: CommonOptions,
+        /// Name of the endpoint.
         #[bpaf(positional("ENDPOINT"))]
         endpoint: String,
     },
     /// Return a drained endpoint to service.
     #[bpaf(command, long("return"))]
     Undrain {
-        /// Processes of the site and the token
+        /// Addresses of the site's processes, and the operators' token
         #[bpaf(external(operator_options))]
         operator: OperatorOptions,
-        /// Settings and output
+        /// Settings file and output format
         #[bpaf(external)]
-        common: Common,
-        /// Endpoint.
+        common: CommonOptions,
+        /// Name of the endpoint.
         #[bpaf(positional("ENDPOINT"))]
         endpoint: String,
     },
     /// Show the state of every entry and agent.
     #[bpaf(command)]
     Status {
-        /// Processes of the site and the token
+        /// Addresses of the site's processes, and the operators' token
         #[bpaf(external(operator_options))]
         operator: OperatorOptions,
-        /// Settings and output
+        /// Settings file and output format
         #[bpaf(external)]
-        common: Common,
+        common: CommonOptions,
     },
     /// Show recent events of all processes, ordered by cause and time.
     #[bpaf(command)]
     Timeline {
-        /// Processes of the site and the token
+        /// Addresses of the site's processes, and the operators' token
         #[bpaf(external(operator_options))]
         operator: OperatorOptions,
-        /// Settings and output
+        /// Settings file and output format
         #[bpaf(external)]
-        common: Common,
-        /// Which events, and how they are shown
+        common: CommonOptions,
+        /// Events to show and their format
         #[bpaf(external(timeline_options))]
         options: TimelineOptions,
     },
@@ -134,83 +134,83 @@
     /// Check settings files of entries, agents and this command.
     #[bpaf(command("check-config"))]
     CheckConfig {
-        /// Settings files.
+        /// Settings files to check.
         #[bpaf(positional("FILE"), some("give at least one file"), complete_shell(bpaf::ShellComp::File { mask: None }))]
         files: Vec<PathBuf>,
     },
 }
 
-/// Commands on contracts.
+/// Commands for contracts.
 #[derive(Bpaf, Clone, Debug)]
 pub enum ContractCommand {
     /// List every contract.
     #[bpaf(command)]
     List {
-        /// Processes of the site and the token
+        /// Addresses of the site's processes, and the operators' token
         #[bpaf(external(operator_options))]
         operator: OperatorOptions,
-        /// Settings and output
+        /// Settings file and output format
         #[bpaf(external)]
-        common: Common,
+        common: CommonOptions,
     },
     /// Show one contract.
     #[bpaf(command)]
     Show {
-        /// Processes of the site and the token
+        /// Addresses of the site's processes, and the operators' token
         #[bpaf(external(operator_options))]
         operator: OperatorOptions,
-        /// Settings and output
+        /// Settings file and output format
         #[bpaf(external)]
-        common: Common,
-        /// Contract.
+        common: CommonOptions,
+        /// Id of the contract.
         #[bpaf(positional("CONTRACT"))]
         contract: String,
     },
     /// Show the latest changes of a contract.
     #[bpaf(command)]
     History {
-        /// Processes of the site and the token
+        /// Addresses of the site's processes, and the operators' token
         #[bpaf(external(operator_options))]
         operator: OperatorOptions,
-        /// Settings and output
+        /// Settings file and output format
         #[bpaf(external)]
-        common: Common,
-        /// Contract.
+        common: CommonOptions,
+        /// Id of the contract.
         #[bpaf(positional("CONTRACT"))]
         contract: String,
     },
     /// Create a contract.
     #[bpaf(command)]
     Create {
-        /// Processes of the site and the token
+        /// Addresses of the site's processes, and the operators' token
         #[bpaf(external(operator_options))]
         operator: OperatorOptions,
-        /// Settings and output
+        /// Settings file and output format
         #[bpaf(external)]
-        common: Common,
-        /// Terms
+        common: CommonOptions,
+        /// Terms of the contract
         #[bpaf(external(contract_terms))]
         terms: ContractTerms,
-        /// Contract.
+        /// Id of the contract.
         #[bpaf(positional("CONTRACT"))]
         contract: String,
     },
-    /// Change a contract.
+    /// Change the terms of a contract.
     #[bpaf(command)]
     Change {
-        /// Processes of the site and the token
+        /// Addresses of the site's processes, and the operators' token
         #[bpaf(external(operator_options))]
         operator: OperatorOptions,
-        /// Settings and output
+        /// Settings file and output format
         #[bpaf(external)]
-        common: Common,
-        /// Terms
+        common: CommonOptions,
+        /// Terms of the contract
         #[bpaf(external(contract_terms))]
         terms: ContractTerms,
-        /// Revision that is changed; the present one where none is given.
+        /// Revision that the change is based on; the current one if not given.
         #[bpaf(long, argument("REVISION"), optional)]
         revision: Option<u64>,
-        /// Contract.
+        /// Id of the contract.
         #[bpaf(positional("CONTRACT"))]
         contract: String,
     },
--- a/crates/cli/src/arguments/job_source.rs
+++ b/crates/cli/src/arguments/job_source.rs
@@ -1,22 +1,22 @@
-//! Where a job's body comes from.
+//! Options for the body of a job.
 
 use {bpaf::Bpaf, humantime::Duration, std::path::PathBuf};
 
-/// Where a job's body comes from.
+/// Body of the job: a file, or options for identical tasks.
 #[derive(Bpaf, Clone, Debug)]
 pub enum JobSource {
-    /// A file with the whole body.
+    /// The body is read from a file.
     File {
         /// File with the job's body in JSON; `-` for standard input.
         #[bpaf(long, argument("FILE"), complete_shell(bpaf::ShellComp::File { mask: None }))]
         file: PathBuf,
     },
-    /// Options that describe equal tasks.
+    /// The body is built from options and has identical tasks.
     Tasks {
-        /// Kind of the tasks.
+        /// Kind of each task.
         #[bpaf(long, argument("KIND"))]
         kind: String,
-        /// Run time that is expected, such as 50ms.
+        /// Expected run time of each task, such as 50ms.
         #[bpaf(long, argument("TIME"), fallback(std::time::Duration::from_millis(100).into()), display_fallback)]
         run_time: Duration,
         /// Input of each task.
@@ -25,7 +25,7 @@
         /// Number of tasks.
         #[bpaf(long, argument("COUNT"), fallback(1), display_fallback)]
         count: usize,
-        /// A second run of a task would do no harm.
+        /// The tasks are idempotent: it does no harm if one runs twice.
         #[bpaf(long, switch)]
         idempotent: bool,
     },
--- a/crates/cli/src/arguments/mod.rs
+++ b/crates/cli/src/arguments/mod.rs
@@ -1,4 +1,4 @@
-//! Arguments of the command line.
+//! Commands and options of the command line.
 
 mod caller_options;
 mod command;
@@ -9,7 +9,7 @@
 mod timeline_options;
 
 pub use {
-    caller_options::{CallerOptions, Common},
+    caller_options::{CallerOptions, CommonOptions},
     command::{Command, ContractCommand, command},
     contract_terms::ContractTerms,
     explain_options::ExplainOptions,
--- a/crates/cli/src/arguments/operator_options.rs
+++ b/crates/cli/src/arguments/operator_options.rs
@@ -12,10 +12,10 @@
 #[derive(Bpaf, Clone, Debug)]
 pub struct OperatorOptions {
     #[bpaf(external(operators))]
-    /// Addresses of entries.
+    /// Addresses of entries for operators, or none to use the settings file.
     pub operators: Vec<SocketAddr>,
     #[bpaf(external(agents))]
-    /// Addresses of agents.
+    /// Addresses of agents for operators, or none to use the settings file.
     pub agents: Vec<SocketAddr>,
     /// File with the operators' token.
     #[bpaf(
@@ -31,21 +31,21 @@
 fn operators() -> impl Parser<Vec<SocketAddr>> {
     long("operators")
         .env("CHESTNUTRUN_OPERATORS")
-        .help("Addresses of entries for operators, with commas between")
+        .help("Addresses of entries for operators, separated by commas")
         .argument::<String>("ADDRESS,...")
-        .parse(|text| addresses(&text))
+        .parse(|text| parse_addresses(&text))
         .fallback(Vec::new())
 }
 
 fn agents() -> impl Parser<Vec<SocketAddr>> {
     long("agents")
         .env("CHESTNUTRUN_AGENTS")
-        .help("Addresses of agents for operators, with commas between")
+        .help("Addresses of agents for operators, separated by commas")
         .argument::<String>("ADDRESS,...")
-        .parse(|text| addresses(&text))
+        .parse(|text| parse_addresses(&text))
         .fallback(Vec::new())
 }
 
-fn addresses(text: &str) -> Result<Vec<SocketAddr>, AddrParseError> {
+fn parse_addresses(text: &str) -> Result<Vec<SocketAddr>, AddrParseError> {
     text.split(',').map(|part| part.trim().parse()).collect()
 }
--- a/crates/cli/src/arguments/timeline_options.rs
+++ b/crates/cli/src/arguments/timeline_options.rs
@@ -1,4 +1,4 @@
-//! Options of the time line.
+//! Options of the timeline command.
 
 use {
     bpaf::Bpaf,
@@ -6,14 +6,14 @@
     std::{path::PathBuf, str::FromStr},
 };
 
-/// How a time line is shown.
+/// Output format of a timeline.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TimelineFormat {
-    /// One line an event.
+    /// Text with one line for each event.
     Text,
-    /// JSON.
+    /// JSON list of events.
     Json,
-    /// Trace events for a browser's trace viewer.
+    /// JSON in the Trace Event Format, for a browser's trace viewer.
     Trace,
 }
 
@@ -25,12 +25,12 @@
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
             "trace" => Ok(Self::Trace),
-            _ => Err("a format is text, json or trace".to_owned()),
+            _ => Err("the format must be text, json or trace".to_owned()),
         }
     }
 }
 
-/// Options of the time line.
+/// Events to show and their format.
 #[derive(Bpaf, Clone, Debug)]
 pub struct TimelineOptions {
     /// Only events of this contract.
@@ -42,16 +42,16 @@
     /// Only events at this endpoint.
     #[bpaf(long, argument("ENDPOINT"), optional)]
     pub endpoint: Option<String>,
-    /// Only events from this moment, such as 2026-01-31T12:00:00Z.
+    /// Only events since this time, such as 2026-01-31T12:00:00Z.
     #[bpaf(long, argument("MOMENT"), optional)]
     pub since: Option<Timestamp>,
-    /// Only events before this moment.
+    /// Only events before this time.
     #[bpaf(long, argument("MOMENT"), optional)]
     pub until: Option<Timestamp>,
-    /// Only events of the last while, such as 30s.
+    /// Only events of this last period, such as 30s.
     #[bpaf(long, argument("TIME"), optional)]
     pub last: Option<Duration>,
-    /// How it is shown: text, json or trace.
+    /// Output format: text, json or trace.
     #[bpaf(long, argument("FORMAT"), optional)]
     pub format: Option<TimelineFormat>,
     /// File to write to instead of standard output.
--- a/crates/cli/src/callers/cancel.rs
+++ b/crates/cli/src/callers/cancel.rs
@@ -1,9 +1,9 @@
-//! Cancels a job.
+//! Cancels jobs.
 
 use {
     crate::{
         CliError, Outcome,
-        arguments::{CallerOptions, Common},
+        arguments::{CallerOptions, CommonOptions},
         client::{HttpClient, Request},
         output::show_job,
         site::CallerSite,
@@ -12,13 +12,13 @@
     std::time::Duration,
 };
 
-/// Longest time for what runs to end, as the server waits for it.
+/// How long the server may wait for running tasks to end before it answers.
 const ANSWER_WAIT: Duration = Duration::from_mins(1);
 
-/// Cancels what has not started of a job, and shows its answer.
+/// Cancels the tasks of a job that have not started, and shows the job's answer.
 pub(crate) async fn cancel(
     options: CallerOptions,
-    common: &Common,
+    common: &CommonOptions,
     key: &str,
 ) -> Result<Outcome, CliError> {
     let site = CallerSite::new(options, common)?;
--- a/crates/cli/src/callers/job_body.rs
+++ b/crates/cli/src/callers/job_body.rs
@@ -1,4 +1,4 @@
-//! Makes the body of a submission.
+//! Builds the body of a submission.
 
 use {
     crate::{CliError, arguments::JobSource},
@@ -10,13 +10,14 @@
     },
 };
 
-/// Name that stands for standard input.
+/// Path that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// Reads or makes the body of a submission.
+/// Returns the body of a submission: the content of a file, or JSON with `count`
+/// identical tasks.
 pub(crate) fn job_body(source: JobSource) -> Result<Vec<u8>, CliError> {
     match source {
-        JobSource::File { file } => read(&file),
+        JobSource::File { file } => read_file(&file),
         JobSource::Tasks {
             kind,
             run_time,
@@ -36,7 +37,7 @@
     }
 }
 
-fn read(path: &Path) -> Result<Vec<u8>, CliError> {
+fn read_file(path: &Path) -> Result<Vec<u8>, CliError> {
     let mut buf = Vec::new();
     let read = if path.as_os_str() == STANDARD_INPUT {
         io::stdin().read_to_end(&mut buf).map(|_| buf)
--- a/crates/cli/src/callers/mod.rs
+++ b/crates/cli/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' commands.
+//! Commands for callers.
 
 mod cancel;
 mod job_body;
--- a/crates/cli/src/callers/result.rs
+++ b/crates/cli/src/callers/result.rs
@@ -1,10 +1,10 @@
-//! Shows a job's answer.
+//! Shows the results of jobs.
 
 use {
     crate::{
         CliError, Outcome,
-        arguments::{CallerOptions, Common},
-        callers::wait::{ask, wait_for_answer},
+        arguments::{CallerOptions, CommonOptions},
+        callers::wait::{get_job, wait_for_answer},
         client::HttpClient,
         output::show_job,
         site::CallerSite,
@@ -12,17 +12,17 @@
     std::time::{Duration, Instant},
 };
 
-/// Shows a job's answer or, where none comes in time, its state.
+/// Shows a job's answer, or its state if it has not ended within `wait`.
 pub(crate) async fn result(
     options: CallerOptions,
-    common: &Common,
+    common: &CommonOptions,
     key: &str,
     wait: Duration,
 ) -> Result<Outcome, CliError> {
     let site = CallerSite::new(options, common)?;
     let client = HttpClient::new().await?;
     let until = Instant::now() + wait;
-    let first = ask(&client, &site, key, Duration::ZERO).await?;
+    let first = get_job(&client, &site, key, Duration::ZERO).await?;
     let page = wait_for_answer(&client, &site, key, first, until).await?;
     Ok(show_job(&page, common.json))
 }
--- a/crates/cli/src/callers/submit.rs
+++ b/crates/cli/src/callers/submit.rs
@@ -1,9 +1,9 @@
-//! Submits a job.
+//! Submits jobs.
 
 use {
     crate::{
         CliError, Outcome,
-        arguments::{CallerOptions, Common, JobSource},
+        arguments::{CallerOptions, CommonOptions, JobSource},
         callers::{job_body::job_body, wait::wait_for_answer},
         client::{HttpClient, Request},
         output::show_job,
@@ -17,7 +17,7 @@
 /// Submits a job and waits for its answer.
 pub(crate) async fn submit(
     options: CallerOptions,
-    common: &Common,
+    common: &CommonOptions,
     key: Option<String>,
     wait: Duration,
     source: JobSource,
@@ -31,12 +31,12 @@
         .header("idempotency-key", &key)
         .body(body);
     if is_new {
-        // Nobody can have submitted a key that was just made up.
+        // No earlier request can have used a key that was just generated.
         request = request.header("submission-attempt", "1");
     }
     let until = Instant::now() + wait;
     let reply = client.send(request).await.inspect_err(|_| {
-        eprintln!("submit again with --key {key}: the job runs once");
+        eprintln!("submit again with --key {key}: the job runs only once");
     })?;
     let page = wait_for_answer(&client, &site, &key, reply.json()?, until).await?;
     Ok(show_job(&page, common.json))
--- a/crates/cli/src/callers/wait.rs
+++ b/crates/cli/src/callers/wait.rs
@@ -4,7 +4,7 @@
     crate::{
         CliError,
         client::{HttpClient, Request},
-        output::Waiting,
+        output::Spinner,
         site::CallerSite,
     },
     ntex::http::Method,
@@ -16,16 +16,17 @@
     tokio::time::{interval, sleep},
 };
 
-/// Longest wait of one request.
+/// Longest time that one request asks the server to wait.
 const REQUEST_WAIT: Duration = Duration::from_secs(20);
 
-/// Wait between questions that were answered at once.
+/// Delay between requests, since a server may answer without waiting.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How often the progress is drawn.
+/// Interval at which the spinner is redrawn.
 const DRAW_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Asks until the job ended or `until` is reached; returns its last page.
+/// Requests the job's page until the job has ended or `until` is reached; returns
+/// the latest page. `first` is a page that the caller has already.
 pub(crate) async fn wait_for_answer(
     client: &HttpClient,
     site: &CallerSite,
@@ -36,21 +37,21 @@
     if is_ended(&first) || Instant::now() >= until {
         return Ok(first);
     }
-    let waiting = Waiting::new(format!("{}/{key}", site.contract));
-    let mut asked = pin!(ask_until(client, site, key, until));
+    let spinner = Spinner::new(format!("{}/{key}", site.contract));
+    let mut polling = pin!(poll_job(client, site, key, until));
     let mut draw = interval(DRAW_INTERVAL);
     let page = loop {
         tokio::select! {
-            page = &mut asked => break page,
-            _ = draw.tick() => waiting.draw(),
+            page = &mut polling => break page,
+            _ = draw.tick() => spinner.draw(),
         }
     };
-    waiting.close();
+    spinner.close();
     page
 }
 
-/// Asks once, and lets the server wait.
-pub(crate) async fn ask(
+/// Requests the job's page; the server waits up to `wait` for the job to end.
+pub(crate) async fn get_job(
     client: &HttpClient,
     site: &CallerSite,
     key: &str,
@@ -61,7 +62,7 @@
     client.send(request).await?.json()
 }
 
-async fn ask_until(
+async fn poll_job(
     client: &HttpClient,
     site: &CallerSite,
     key: &str,
@@ -69,7 +70,7 @@
 ) -> Result<Value, CliError> {
     loop {
         let left = until.saturating_duration_since(Instant::now());
-        let page = ask(client, site, key, left.min(REQUEST_WAIT)).await?;
+        let page = get_job(client, site, key, left.min(REQUEST_WAIT)).await?;
         if is_ended(&page) || Instant::now() >= until {
             return Ok(page);
         }
--- a/crates/cli/src/client/http_client.rs
+++ b/crates/cli/src/client/http_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client.
+//! The HTTP client of commands.
 
 use {
     crate::{CliError, client::HttpReply},
@@ -6,13 +6,13 @@
     std::{fmt, time::Duration},
 };
 
-/// Longest answer, in bytes.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
 
-/// How long an answer may take beyond the wait that is asked for.
+/// Time allowed for an answer in addition to the wait that the request asks for.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A request.
+/// An HTTP request.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     method: Method,
@@ -23,7 +23,7 @@
 }
 
 impl Request {
-    /// Starts to build a request that carries a token.
+    /// Creates a request with a bearer token.
     pub(crate) fn new(method: Method, url: impl Into<String>, token: &str) -> Self {
         Self {
             method,
@@ -41,14 +41,15 @@
         self
     }
 
-    /// Sets a body in JSON.
+    /// Sets the body, which is JSON.
     #[must_use]
     pub(crate) fn body(mut self, body: Vec<u8>) -> Self {
         self.body = body;
         self.header("content-type", "application/json")
     }
 
-    /// Sets how long the server is asked to wait before it answers.
+    /// Sets how long the server may wait before it answers; this prolongs the timeout
+    /// of the request.
     #[must_use]
     pub(crate) fn wait(mut self, wait: Duration) -> Self {
         self.wait = wait;
@@ -56,7 +57,7 @@
     }
 }
 
-/// The HTTP client.
+/// Client that sends requests to entries and agents.
 pub(crate) struct HttpClient {
     client: Client,
 }
@@ -68,21 +69,21 @@
 }
 
 impl HttpClient {
-    /// Makes a client.
+    /// Creates a client without a timeout of its own; each request sets one.
     pub(crate) async fn new() -> Result<Self, CliError> {
         let client = Client::builder()
             .response_payload_limit(MAX_ANSWER_BYTES)
             .disable_timeout()
             .build(SharedCfg::default())
             .await
-            .map_err(|e| CliError::Invalid(format!("no HTTP client: {e:?}")))?;
+            .map_err(|e| CliError::Invalid(format!("cannot create the HTTP client: {e:?}")))?;
         Ok(Self { client })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole answer, also one with an error status.
     pub(crate) async fn send(&self, request: Request) -> Result<HttpReply, CliError> {
         let no_answer = |reason: String| CliError::NoAnswer {
-            address: request.url.clone(),
+            url: request.url.clone(),
             reason,
         };
         let mut req = self.client.request(request.method, request.url.as_str());
--- a/crates/cli/src/client/http_reply.rs
+++ b/crates/cli/src/client/http_reply.rs
@@ -1,34 +1,35 @@
-//! An answer of a server.
+//! The answer of a server to a request.
 
 use {
     crate::{CliError, client::Problem},
     serde_json::Value,
 };
 
-/// An answer of a server.
+/// The answer of a server to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct HttpReply {
-    /// Status code.
+    /// HTTP status code.
     pub(crate) status: u16,
-    /// Body.
+    /// Body as received.
     pub(crate) body: Vec<u8>,
-    /// Value of `Retry-After`, where there is one.
+    /// Value of the `Retry-After` header, if the server sent one.
     pub(crate) retry_after: Option<String>,
 }
 
-/// Lowest status code of answers that are problems.
-const FIRST_PROBLEM: u16 = 400;
+/// Lowest status code of an error.
+const MIN_ERROR_STATUS: u16 = 400;
 
 impl HttpReply {
-    /// Returns the JSON of a good answer.
+    /// Parses the body as JSON; an answer with an error status becomes a problem.
     pub(crate) fn json(self) -> Result<Value, CliError> {
-        if self.status >= FIRST_PROBLEM {
+        if self.status >= MIN_ERROR_STATUS {
             return Err(CliError::Problem(Box::new(self.problem())));
         }
         serde_json::from_slice(&self.body)
-            .map_err(|error| CliError::Invalid(format!("the answer is no JSON: {error}")))
+            .map_err(|error| CliError::Invalid(format!("the answer is not valid JSON: {error}")))
     }
 
+    /// Reads the body as a problem document; a body that is none becomes the detail.
     fn problem(self) -> Problem {
         let mut problem: Problem = serde_json::from_slice(&self.body).unwrap_or_default();
         problem.status = self.status;
--- a/crates/cli/src/client/mod.rs
+++ b/crates/cli/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP client and what servers answer.
+//! The HTTP client and the answers of servers.
 
 mod http_client;
 mod http_reply;
--- a/crates/cli/src/client/problem.rs
+++ b/crates/cli/src/client/problem.rs
@@ -1,4 +1,4 @@
-//! Problem documents after RFC 9457, as servers send them.
+//! Problem documents (RFC 9457) that servers send with an error status.
 
 use {
     serde::{Deserialize, Serialize},
@@ -6,38 +6,39 @@
     std::fmt,
 };
 
-/// Beginning of the types of problems.
+/// Prefix of the problem types of entries.
 const TYPE_PREFIX: &str = "urn:chestnutrun:problem:";
 
-/// A problem document.
+/// A problem document (RFC 9457).
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Problem {
-    /// Stable type.
+    /// Stable problem type, a URN.
     #[serde(rename = "type")]
     pub kind: String,
     /// Status code of the answer.
     pub status: u16,
-    /// What is wrong with the request.
+    /// Explanation of this problem, for people.
     pub detail: String,
-    /// Whether it is certain that nothing of the request ran or will run.
+    /// True if nothing of the request ran and nothing will run.
     pub not_run: bool,
-    /// Seconds after which another try is sensible.
+    /// Seconds to wait before the request is repeated, from the `Retry-After` header.
     #[serde(skip)]
     pub retry_after: Option<String>,
-    /// Further members.
+    /// Other members of the document.
     #[serde(flatten)]
     pub more: Map<String, Value>,
 }
 
 impl Problem {
-    /// Returns the short name of the type.
+    /// Returns the problem type without its prefix.
     #[must_use]
     pub fn name(&self) -> &str {
         self.kind.strip_prefix(TYPE_PREFIX).unwrap_or(&self.kind)
     }
 
-    /// Whether the server refused, so that the same request does not help now.
+    /// Returns true if the server refused the request: nothing of it ran or will run,
+    /// or the status says that the request is at fault.
     #[must_use]
     pub fn is_refusal(&self) -> bool {
         self.not_run || (400..500).contains(&self.status)
--- a/crates/cli/src/conf.rs
+++ b/crates/cli/src/conf.rs
@@ -1,4 +1,4 @@
-//! Settings of the command line: where the site is, and files with tokens.
+//! Settings of the command line: addresses of a site and files with tokens.
 
 use {
     chestnutrun_settings::Conf,
@@ -7,11 +7,12 @@
     std::{net::SocketAddr, path::PathBuf},
 };
 
-/// Settings of the command line; options and variables go before them.
+/// Settings of the command line. Options and environment variables take precedence
+/// over them.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CliConf {
-    /// Address of an entry, or of the balancer, for callers.
+    /// Address of an entry, or of a load balancer before the entries, for callers.
     pub callers: Option<SocketAddr>,
     /// Addresses of the entries for operators.
     pub operators: Vec<SocketAddr>,
@@ -19,18 +20,20 @@
     pub agents: Vec<SocketAddr>,
     /// File with the operators' token.
     pub operator_token_file: Option<PathBuf>,
-    /// Files with the tokens of contracts.
+    /// Files with the tokens of contracts, by contract id.
     pub contract_token_files: IndexMap<String, PathBuf>,
 }
 
 impl Conf for CliConf {
     fn problems(&self) -> Vec<String> {
-        let twice = |address| format!("address {address} is used twice");
-        let all: Vec<SocketAddr> = self.operators.iter().chain(&self.agents).copied().collect();
-        all.iter()
+        let duplicate = |address| format!("address {address} is used twice");
+        let addresses: Vec<SocketAddr> =
+            self.operators.iter().chain(&self.agents).copied().collect();
+        addresses
+            .iter()
             .enumerate()
-            .filter(|(i, address)| all[..*i].contains(address))
-            .map(|(_, address)| twice(address))
+            .filter(|(i, address)| addresses[..*i].contains(address))
+            .map(|(_, address)| duplicate(address))
             .collect()
     }
 }
--- a/crates/cli/src/errors.rs
+++ b/crates/cli/src/errors.rs
@@ -7,32 +7,32 @@
     thiserror::Error,
 };
 
-/// Why a command did not do what was asked for.
+/// Error of a command.
 #[derive(Debug, Error)]
 pub enum CliError {
-    /// The settings file is wrong.
+    /// The settings file cannot be read or is not valid.
     #[error(transparent)]
     Conf(#[from] ConfError),
-    /// Something that the command needs was not given.
+    /// A required option or setting was not given.
     #[error("{0}")]
     Missing(&'static str),
-    /// A file cannot be read or written.
+    /// A file could not be read or written.
     #[error("{path}: {source}", path = .path.display())]
     File {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A value is not valid.
+    /// A value or an answer is not valid.
     #[error("{0}")]
     Invalid(String),
-    /// No whole answer came.
-    #[error("no answer from {address}: {reason}")]
+    /// No complete answer arrived.
+    #[error("no answer from {url}: {reason}")]
     NoAnswer {
-        /// Address that was asked.
-        address: String,
-        /// What went wrong.
+        /// URL of the request.
+        url: String,
+        /// Error of the HTTP client.
         reason: String,
     },
     /// The server answered with a problem document.
@@ -40,11 +40,11 @@
     Problem(Box<Problem>),
 }
 
-/// Type of the problem where a change met a newer one.
+/// Name of the problem type of a change that conflicts with a newer one.
 const CONFLICT: &str = "conflict";
 
 impl CliError {
-    /// Returns the exit code that says what is certain.
+    /// Returns the exit code, which says what is certain about the request.
     #[must_use]
     pub fn outcome(&self) -> Outcome {
         match self {
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The command line: what callers and operators do over HTTP.
+//! Command line by which callers and operators use a site over HTTP.
 
 pub mod arguments;
 mod callers;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line for callers and operators.
+//! Parses the command line and runs the command.
 
 use {
     chestnutrun_cli::{Outcome, arguments, run},
--- a/crates/cli/src/operators/change_contract.rs
+++ b/crates/cli/src/operators/change_contract.rs
@@ -3,9 +3,9 @@
 use {
     crate::{
         CliError, Outcome,
-        arguments::{Common, ContractTerms, OperatorOptions},
+        arguments::{CommonOptions, ContractTerms, OperatorOptions},
         client::{HttpClient, Request},
-        operators::{contracts::get, in_force::show_in_force},
+        operators::{contracts::get_page, in_force::show_in_force},
         site::{OperatorSite, read_token},
     },
     chestnutrun_types::{Contract, Revision},
@@ -18,7 +18,7 @@
 /// Creates a contract.
 pub(crate) async fn create_contract(
     options: OperatorOptions,
-    common: &Common,
+    common: &CommonOptions,
     terms: ContractTerms,
     id: String,
 ) -> Result<Outcome, CliError> {
@@ -31,44 +31,46 @@
         .token_hash(hash_token(&token_file)?)
         .build()
         .map_err(|error| CliError::Invalid(error.to_string()))?;
-    apply(&mut contract, terms)?;
-    put(&site, common, &contract, 0).await
+    apply_terms(&mut contract, terms)?;
+    put_contract(&site, common, &contract, 0).await
 }
 
-/// Changes a contract.
+/// Changes the given terms of a contract. `revision` is the revision that the change
+/// is based on; the current one if none.
 pub(crate) async fn change_contract(
     options: OperatorOptions,
-    common: &Common,
+    common: &CommonOptions,
     terms: ContractTerms,
     id: String,
     revision: Option<Revision>,
 ) -> Result<Outcome, CliError> {
     let site = OperatorSite::new(options, common)?;
-    let mut page = get(&site, &format!("/v1/contracts/{id}")).await?;
-    let present = page
+    let mut page = get_page(&site, &format!("/v1/contracts/{id}")).await?;
+    let current = page
         .as_object_mut()
         .and_then(|page| page.remove("revision"));
-    let present = present.as_ref().and_then(Value::as_u64).unwrap_or_default();
+    let current = current.as_ref().and_then(Value::as_u64).unwrap_or_default();
     let mut contract: Contract = serde_json::from_value(page)
-        .map_err(|error| CliError::Invalid(format!("contract {id} cannot be read: {error}")))?;
-    apply(&mut contract, terms)?;
-    put(&site, common, &contract, revision.unwrap_or(present)).await
+        .map_err(|error| CliError::Invalid(format!("cannot parse contract {id}: {error}")))?;
+    apply_terms(&mut contract, terms)?;
+    put_contract(&site, common, &contract, revision.unwrap_or(current)).await
 }
 
-fn apply(contract: &mut Contract, terms: ContractTerms) -> Result<(), CliError> {
-    set(&mut contract.in_flight_limit, terms.in_flight_limit);
-    set(&mut contract.queue_limit, terms.queue_limit);
-    set(&mut contract.urgency, terms.urgency);
-    set(&mut contract.weight, terms.weight);
-    set(&mut contract.overflow, terms.overflow);
+/// Sets the terms that were given, and checks the contract.
+fn apply_terms(contract: &mut Contract, terms: ContractTerms) -> Result<(), CliError> {
+    set_if_given(&mut contract.in_flight_limit, terms.in_flight_limit);
+    set_if_given(&mut contract.queue_limit, terms.queue_limit);
+    set_if_given(&mut contract.urgency, terms.urgency);
+    set_if_given(&mut contract.weight, terms.weight);
+    set_if_given(&mut contract.overflow, terms.overflow);
     let hash = terms.contract_token_file.map(|file| hash_token(&file));
-    set(&mut contract.token_hash, hash.transpose()?);
+    set_if_given(&mut contract.token_hash, hash.transpose()?);
     contract
         .check()
         .map_err(|error| CliError::Invalid(error.to_string()))
 }
 
-fn set<T>(term: &mut T, value: Option<T>) {
+fn set_if_given<T>(term: &mut T, value: Option<T>) {
     if let Some(value) = value {
         *term = value;
     }
@@ -78,9 +80,11 @@
     Ok(Contract::hash_token(&read_token(path)?))
 }
 
-async fn put(
+/// Writes a contract if its revision at the server is the expected one; 0 expects
+/// that there is none. Shows when the change is in force.
+async fn put_contract(
     site: &OperatorSite,
-    common: &Common,
+    common: &CommonOptions,
     contract: &Contract,
     expected: Revision,
 ) -> Result<Outcome, CliError> {
--- a/crates/cli/src/operators/check_config.rs
+++ b/crates/cli/src/operators/check_config.rs
@@ -9,13 +9,13 @@
     },
 };
 
-/// Checks settings files; shows all that is wrong with each.
+/// Checks settings files; prints the problems of each.
 pub(crate) fn check_config(files: &[PathBuf]) -> Result<Outcome, CliError> {
     let mut outcome = Outcome::Done;
     for file in files {
         match check(file)? {
-            Ok(daemon) => show_line(format_args!(
-                "{}: valid settings of {daemon}",
+            Ok(program) => show_line(format_args!(
+                "{}: valid settings of {program}",
                 file.display()
             )),
             Err(error) => {
@@ -27,7 +27,8 @@
     Ok(outcome)
 }
 
-/// Checks a file by the settings that only one program has.
+/// Recognises the program by keys that only its settings have, and checks the
+/// file. Returns the program's name, or the problems of the settings.
 fn check(path: &Path) -> Result<Result<&'static str, ConfError>, CliError> {
     let text = fs::read_to_string(path).map_err(|source| CliError::File {
         path: path.to_owned(),
--- a/crates/cli/src/operators/contracts.rs
+++ b/crates/cli/src/operators/contracts.rs
@@ -1,9 +1,9 @@
-//! Shows contracts.
+//! Lists and shows contracts.
 
 use {
     crate::{
         CliError, Outcome,
-        arguments::{Common, OperatorOptions},
+        arguments::{CommonOptions, OperatorOptions},
         client::{HttpClient, Request},
         output::{show_table, show_value},
         site::OperatorSite,
@@ -12,7 +12,7 @@
     serde_json::Value,
 };
 
-/// Columns of the list of contracts.
+/// Columns of the list of contracts, which are fields of a contract.
 const COLUMNS: [&str; 7] = [
     "id",
     "revision",
@@ -26,10 +26,10 @@
 /// Lists every contract.
 pub(crate) async fn list_contracts(
     options: OperatorOptions,
-    common: &Common,
+    common: &CommonOptions,
 ) -> Result<Outcome, CliError> {
     let site = OperatorSite::new(options, common)?;
-    let page = get(&site, "/v1/contracts").await?;
+    let page = get_page(&site, "/v1/contracts").await?;
     if common.json {
         show_value(&page);
     } else {
@@ -42,27 +42,27 @@
 /// Shows one contract.
 pub(crate) async fn show_contract(
     options: OperatorOptions,
-    common: &Common,
+    common: &CommonOptions,
     contract: &str,
 ) -> Result<Outcome, CliError> {
     let site = OperatorSite::new(options, common)?;
-    show_value(&get(&site, &format!("/v1/contracts/{contract}")).await?);
+    show_value(&get_page(&site, &format!("/v1/contracts/{contract}")).await?);
     Ok(Outcome::Done)
 }
 
 /// Shows the latest changes of a contract.
 pub(crate) async fn show_history(
     options: OperatorOptions,
-    common: &Common,
+    common: &CommonOptions,
     contract: &str,
 ) -> Result<Outcome, CliError> {
     let site = OperatorSite::new(options, common)?;
-    show_value(&get(&site, &format!("/v1/contracts/{contract}/history")).await?);
+    show_value(&get_page(&site, &format!("/v1/contracts/{contract}/history")).await?);
     Ok(Outcome::Done)
 }
 
-/// Reads a page for operators.
-pub(crate) async fn get(site: &OperatorSite, path: &str) -> Result<Value, CliError> {
+/// Reads a page for operators from the first entry.
+pub(crate) async fn get_page(site: &OperatorSite, path: &str) -> Result<Value, CliError> {
     let client = HttpClient::new().await?;
     let request = Request::new(Method::GET, site.url(path), &site.token);
     client.send(request).await?.json()
--- a/crates/cli/src/operators/explain.rs
+++ b/crates/cli/src/operators/explain.rs
@@ -1,4 +1,4 @@
-//! Explains jobs from the logs of all processes.
+//! Explains from the logs of all processes how jobs ended.
 
 use {
     crate::{CliError, Outcome, arguments::ExplainOptions, output::show_line},
@@ -10,10 +10,10 @@
     },
 };
 
-/// Name of the outcome of a job that went well.
+/// Outcome of a job whose tasks all completed.
 const COMPLETED: &str = "completed";
 
-/// Explains one job, or lists those that are worth a look.
+/// Explains one job, or lists the slow or unsuccessful jobs.
 pub(crate) fn explain(options: &ExplainOptions) -> Result<Outcome, CliError> {
     let lines = read_lines(options)?;
     if let Some(job) = &options.job {
@@ -24,7 +24,7 @@
             "give the ID of a job, --slow or --refused",
         ));
     }
-    for summary in chosen(options, summaries(&lines)) {
+    for summary in select_summaries(options, summaries(&lines)) {
         let at = SystemTime::UNIX_EPOCH + Duration::from_micros(summary.at_us);
         let at = humantime::format_rfc3339_millis(at);
         let took = summary.took.as_millis();
@@ -36,7 +36,7 @@
     Ok(Outcome::Done)
 }
 
-fn chosen(options: &ExplainOptions, mut summaries: Vec<JobSummary>) -> Vec<JobSummary> {
+fn select_summaries(options: &ExplainOptions, mut summaries: Vec<JobSummary>) -> Vec<JobSummary> {
     if let Some(since) = options.since {
         let since: SystemTime = since.into();
         summaries.retain(|s| SystemTime::UNIX_EPOCH + Duration::from_micros(s.at_us) >= since);
@@ -52,20 +52,21 @@
 }
 
 fn explain_job(job: &str, lines: &[LogLine]) -> Result<Outcome, CliError> {
-    let story = Story::of(job, lines);
-    let story = story.ok_or_else(|| CliError::Invalid(format!("no line is about job {job}")))?;
-    let begin = story.lines().first().map_or(0, |line| line.at_us);
-    for line in story.lines() {
+    let history = Story::of(job, lines);
+    let history =
+        history.ok_or_else(|| CliError::Invalid(format!("no log line is about job {job}")))?;
+    let begin = history.lines().first().map_or(0, |line| line.at_us);
+    for line in history.lines() {
         let after = line.at_us.saturating_sub(begin) / 1_000;
         show_line(format_args!(
             "{after:>7} ms  {:<20} {}",
             line.process,
-            told(line)
+            describe(line)
         ));
     }
-    if let Some((length, from, to)) = story.longest_gap() {
+    if let Some((length, from, to)) = history.longest_gap() {
         show_line(format_args!(
-            "Most time without a line: {} ms, from {} at {} to {} at {}.",
+            "Longest time without a log line: {} ms, from {} at {} to {} at {}.",
             length.as_millis(),
             from.note.name(),
             from.process,
@@ -73,31 +74,33 @@
             to.process,
         ));
     }
-    for agent in story.missing() {
+    for agent in history.missing() {
         show_line(format_args!(
-            "Missing: {agent} got tasks, and there is no line of it."
+            "Missing: {agent} got tasks, but there is no log line from it."
         ));
     }
-    for (process, count) in story.left_out() {
-        show_line(format_args!("Missing: {process} left out {count} lines."));
+    for (process, count) in history.left_out() {
+        show_line(format_args!(
+            "Missing: {process} left out {count} log lines."
+        ));
     }
-    show_line(format_args!("Cause: {}.", story.cause()));
+    show_line(format_args!("Cause: {}.", history.cause()));
     Ok(Outcome::Done)
 }
 
-/// Shows a decision with what it was made on, without what the line shows
-/// beside it.
-fn told(line: &LogLine) -> String {
+/// Formats the decision of a log line with its fields, without the job, which is
+/// the same in all lines.
+fn describe(line: &LogLine) -> String {
     let Ok(serde_json::Value::Object(fields)) = serde_json::to_value(&line.note) else {
         return line.note.name().to_owned();
     };
-    let shown = fields
+    let details = fields
         .iter()
         .filter(|(name, _)| *name != "event" && *name != "job");
-    let shown: Vec<String> = shown
+    let details: Vec<String> = details
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
-    format!("{} {}", line.note.name(), shown.join(" "))
+    format!("{} {}", line.note.name(), details.join(" "))
 }
 
 fn read_lines(options: &ExplainOptions) -> Result<Vec<LogLine>, CliError> {
@@ -112,14 +115,14 @@
     }
     if options.log.is_empty() {
         let read = stdin().read_to_string(&mut text);
-        read.map_err(|e| CliError::Invalid(format!("standard input cannot be read: {e}")))?;
+        read.map_err(|e| CliError::Invalid(format!("cannot read standard input: {e}")))?;
     }
-    Ok(parse(&text))
+    Ok(parse_lines(&text))
 }
 
-/// Takes the log lines out of a text; whatever stands before a line, such as
-/// the name of a machine, and lines of other programs are passed over.
-fn parse(text: &str) -> Vec<LogLine> {
+/// Parses the log lines in a text. A prefix before the JSON of a line, such as a
+/// host name, and lines of other programs are skipped.
+fn parse_lines(text: &str) -> Vec<LogLine> {
     let lines = text.lines().filter_map(|line| {
         let begin = line.find("{\"at_us\"")?;
         serde_json::from_str(&line[begin..]).ok()
--- a/crates/cli/src/operators/gather.rs
+++ b/crates/cli/src/operators/gather.rs
@@ -1,4 +1,4 @@
-//! Reads the same page of every process.
+//! Reads a page of every process of a site.
 
 use {
     crate::{
@@ -11,25 +11,26 @@
     std::net::SocketAddr,
 };
 
-/// What one process answered.
+/// The answer of one process.
 #[derive(Debug)]
-pub(crate) struct Gathered {
+pub(crate) struct ProcessReply {
     /// Address of the process.
     pub(crate) address: SocketAddr,
-    /// Its page.
+    /// Page that the process returned, or why there is none.
     pub(crate) page: Result<Value, CliError>,
 }
 
-/// Reads a page of every entry and agent, one after the other.
+/// Reads a page of every entry and agent, one after the other. A process that does
+/// not answer has an error in place of its page.
 pub(crate) async fn gather(
     site: &OperatorSite,
     entry_path: &str,
     agent_path: &str,
-) -> Result<Vec<Gathered>, CliError> {
+) -> Result<Vec<ProcessReply>, CliError> {
     let client = HttpClient::new().await?;
     let entries = site.entries.iter().map(|address| (*address, entry_path));
     let agents = site.agents.iter().map(|address| (*address, agent_path));
-    let mut gathered = Vec::new();
+    let mut replies = Vec::new();
     for (address, path) in entries.chain(agents) {
         let url = format!("http://{address}{path}");
         let request = Request::new(Method::GET, url, &site.token);
@@ -37,7 +38,7 @@
             Ok(reply) => reply.json(),
             Err(error) => Err(error),
         };
-        gathered.push(Gathered { address, page });
+        replies.push(ProcessReply { address, page });
     }
-    Ok(gathered)
+    Ok(replies)
 }
--- a/crates/cli/src/operators/in_force.rs
+++ b/crates/cli/src/operators/in_force.rs
@@ -1,9 +1,9 @@
-//! Waits until a change is in force.
+//! Waits until a change is in force at every entry.
 
 use {
     crate::{
         CliError, Outcome,
-        arguments::Common,
+        arguments::CommonOptions,
         operators::gather::gather,
         output::{show_line, show_value},
         site::OperatorSite,
@@ -13,26 +13,28 @@
     tokio::time::sleep,
 };
 
-/// How long a change may take until it is in force at every entry.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(5);
+/// Longest wait for a change to be in force at every entry.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time between two looks at the entries.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay between two reads of the entries' revisions.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits until a change is in force at every entry, and shows it.
+/// Waits until a change is in force at every entry or the timeout is reached, and
+/// prints at how many it is. `what` names the changed object in the output; `page`
+/// is the server's answer to the change.
 pub(crate) async fn show_in_force(
     site: &OperatorSite,
-    common: &Common,
+    common: &CommonOptions,
     what: &str,
     mut page: Value,
 ) -> Result<Outcome, CliError> {
     let revision = page["revision"].as_u64().unwrap_or_default();
-    let until = Instant::now() + IN_FORCE_WITHIN;
+    let until = Instant::now() + IN_FORCE_TIMEOUT;
     let all = site.entries.len();
-    let mut in_force = entries_at(site, revision).await?;
+    let mut in_force = count_entries_at(site, revision).await?;
     while in_force < all && Instant::now() < until {
-        sleep(LOOK_INTERVAL).await;
-        in_force = entries_at(site, revision).await?;
+        sleep(POLL_INTERVAL).await;
+        in_force = count_entries_at(site, revision).await?;
     }
     if common.json {
         page["in_force"] = json!({"entries": in_force, "of": all});
@@ -49,13 +51,13 @@
     })
 }
 
-/// Returns how many entries have a configuration of this revision or a newer.
-async fn entries_at(site: &OperatorSite, revision: u64) -> Result<usize, CliError> {
+/// Counts the entries whose configuration has this revision or a newer one.
+async fn count_entries_at(site: &OperatorSite, revision: u64) -> Result<usize, CliError> {
     let entries = site.entries_only();
-    let gathered = gather(&entries, "/v1/status", "/status").await?;
-    let pages = gathered.iter().filter_map(|entry| entry.page.as_ref().ok());
+    let replies = gather(&entries, "/v1/status", "/status").await?;
+    let pages = replies.iter().filter_map(|entry| entry.page.as_ref().ok());
     Ok(pages
         .filter_map(|page| page["configuration"].as_u64())
-        .filter(|present| *present >= revision)
+        .filter(|current| *current >= revision)
         .count())
 }
--- a/crates/cli/src/operators/mod.rs
+++ b/crates/cli/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' commands.
+//! Commands for operators.
 
 mod change_contract;
 mod check_config;
--- a/crates/cli/src/operators/status.rs
+++ b/crates/cli/src/operators/status.rs
@@ -1,17 +1,17 @@
-//! Shows the state of every process.
+//! Shows the state of every entry, agent and endpoint.
 
 use {
     crate::{
         CliError, Outcome,
-        arguments::{Common, OperatorOptions},
-        operators::gather::{Gathered, gather},
+        arguments::{CommonOptions, OperatorOptions},
+        operators::gather::{ProcessReply, gather},
         output::{show_line, show_table, show_value},
         site::OperatorSite,
     },
     serde_json::{Value, json},
 };
 
-/// Columns for every process.
+/// Columns of the table of processes.
 const PROCESS_COLUMNS: [&str; 7] = [
     "process",
     "zone",
@@ -22,41 +22,45 @@
     "owns",
 ];
 
-/// Columns for every endpoint, as its owner sees it.
+/// Columns of the table of endpoints, whose rows come from the owners of their
+/// shards.
 const ENDPOINT_COLUMNS: [&str; 7] = [
     "endpoint", "slots", "taken", "linked", "fenced", "draining", "leaving",
 ];
 
 /// Shows the state of every entry and agent.
-pub(crate) async fn status(options: OperatorOptions, common: &Common) -> Result<Outcome, CliError> {
+pub(crate) async fn status(
+    options: OperatorOptions,
+    common: &CommonOptions,
+) -> Result<Outcome, CliError> {
     let site = OperatorSite::new(options, common)?;
-    let gathered = gather(&site, "/v1/status", "/status").await?;
-    let is_whole = gathered.iter().all(|process| process.page.is_ok());
-    let rows: Vec<Value> = gathered.iter().map(row).collect();
+    let replies = gather(&site, "/v1/status", "/status").await?;
+    let is_complete = replies.iter().all(|process| process.page.is_ok());
+    let rows: Vec<Value> = replies.iter().map(process_row).collect();
     if common.json {
-        let pages: Vec<Value> = gathered.iter().map(page).collect();
+        let pages: Vec<Value> = replies.iter().map(page_or_error).collect();
         show_value(&Value::Array(pages));
     } else {
         show_table(&PROCESS_COLUMNS, &rows);
         show_line("");
-        let endpoints: Vec<Value> = gathered.iter().flat_map(endpoints).collect();
+        let endpoints: Vec<Value> = replies.iter().flat_map(endpoint_rows).collect();
         show_table(&ENDPOINT_COLUMNS, &endpoints);
     }
-    Ok(if is_whole {
+    Ok(if is_complete {
         Outcome::Done
     } else {
         Outcome::Unknown
     })
 }
 
-fn page(process: &Gathered) -> Value {
+fn page_or_error(process: &ProcessReply) -> Value {
     match &process.page {
         Ok(page) => page.clone(),
         Err(error) => json!({"address": process.address, "error": error.to_string()}),
     }
 }
 
-fn row(process: &Gathered) -> Value {
+fn process_row(process: &ProcessReply) -> Value {
     let Ok(page) = &process.page else {
         let name = format!("{}: no answer", process.address);
         return json!({ "process": name });
@@ -76,11 +80,11 @@
         "links": links,
         "work": work,
         "leaving": page["leaving"],
-        "owns": owns(page),
+        "owns": owned_shards(page),
     })
 }
 
-fn owns(page: &Value) -> String {
+fn owned_shards(page: &Value) -> String {
     let shards = page["shards"].as_array().cloned().unwrap_or_default();
     let owned: Vec<String> = shards
         .iter()
@@ -89,7 +93,7 @@
     owned.join(", ")
 }
 
-fn endpoints(process: &Gathered) -> Vec<Value> {
+fn endpoint_rows(process: &ProcessReply) -> Vec<Value> {
     let Ok(page) = &process.page else {
         return Vec::new();
     };
--- a/crates/cli/src/operators/timeline.rs
+++ b/crates/cli/src/operators/timeline.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         CliError, Outcome,
-        arguments::{Common, OperatorOptions, TimelineFormat, TimelineOptions},
-        operators::gather::{Gathered, gather},
+        arguments::{CommonOptions, OperatorOptions, TimelineFormat, TimelineOptions},
+        operators::gather::{ProcessReply, gather},
         output::show_line,
         site::OperatorSite,
     },
@@ -20,17 +20,17 @@
 /// Shows recent events of all processes, ordered by cause and time.
 pub(crate) async fn timeline(
     operator: OperatorOptions,
-    common: &Common,
+    common: &CommonOptions,
     options: TimelineOptions,
 ) -> Result<Outcome, CliError> {
     let site = OperatorSite::new(operator, common)?;
-    let gathered = gather(&site, "/v1/timeline", "/timeline").await?;
-    let is_whole = gathered.iter().all(|process| process.page.is_ok());
+    let replies = gather(&site, "/v1/timeline", "/timeline").await?;
+    let is_complete = replies.iter().all(|process| process.page.is_ok());
     let mut events = Vec::new();
-    for process in gathered {
+    for process in replies {
         events.extend(events_of(process)?);
     }
-    let filter = filter(&options);
+    let filter = event_filter(&options);
     let mut events = order(events);
     events.retain(|caused| filter.chooses(&caused.event));
     let format = options.format.unwrap_or(if common.json {
@@ -38,30 +38,32 @@
     } else {
         TimelineFormat::Text
     });
-    write(options.out.as_deref(), &show(&events, format))?;
-    Ok(if is_whole {
+    write_output(options.out.as_deref(), &format_events(&events, format))?;
+    Ok(if is_complete {
         Outcome::Done
     } else {
         Outcome::Unknown
     })
 }
 
-fn events_of(process: Gathered) -> Result<Vec<Event>, CliError> {
+/// Returns the events of a process; none if it did not answer, which is reported on
+/// standard error.
+fn events_of(process: ProcessReply) -> Result<Vec<Event>, CliError> {
     match process.page {
         Ok(page) => serde_json::from_value(page).map_err(|error| {
             CliError::Invalid(format!(
-                "events of {} cannot be read: {error}",
+                "cannot parse the events of {}: {error}",
                 process.address
             ))
         }),
         Err(error) => {
-            eprintln!("its events are missing: {error}");
+            eprintln!("events of a process are missing: {error}");
             Ok(Vec::new())
         }
     }
 }
 
-fn filter(options: &TimelineOptions) -> EventFilter {
+fn event_filter(options: &TimelineOptions) -> EventFilter {
     let last = options.last.map(|last| SystemTime::now() - *last);
     let since = options.since.map(SystemTime::from);
     EventFilter::builder()
@@ -73,7 +75,7 @@
         .build()
 }
 
-fn show(events: &[CausedEvent], format: TimelineFormat) -> String {
+fn format_events(events: &[CausedEvent], format: TimelineFormat) -> String {
     match format {
         TimelineFormat::Text => events
             .iter()
@@ -84,7 +86,7 @@
     }
 }
 
-fn write(out: Option<&Path>, text: &str) -> Result<(), CliError> {
+fn write_output(out: Option<&Path>, text: &str) -> Result<(), CliError> {
     match out {
         None => {
             show_line(text.trim_end());
--- a/crates/cli/src/outcome.rs
+++ b/crates/cli/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Exit codes.
+//! Exit codes of commands.
 
 use std::process::ExitCode;
 
@@ -6,20 +6,21 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[repr(u8)]
 pub enum Outcome {
-    /// What was asked for is done.
+    /// The command succeeded.
     Done = 0,
     /// The job ended, but not every task completed.
     JobFailed = 1,
     /// Arguments, settings or a file are wrong; nothing was sent.
     WrongUsage = 2,
-    /// The server refused; the message says whether anything ran or changed.
+    /// The server refused the request; the message says if it is certain that nothing
+    /// ran or changed.
     Refused = 3,
-    /// A change met a newer one; nothing was written.
+    /// Another change was made first; nothing was written.
     Conflict = 4,
-    /// No answer came, or one that claims nothing: ask again.
+    /// No answer arrived, or the answer leaves open what happened: ask again.
     Unknown = 5,
-    /// The job goes on; ask for its result later.
-    StillOpen = 6,
+    /// The job has not ended; its result can be requested later.
+    JobPending = 6,
 }
 
 impl From<Outcome> for ExitCode {
--- a/crates/cli/src/output/mod.rs
+++ b/crates/cli/src/output/mod.rs
@@ -1,13 +1,13 @@
-//! What people and programs read.
+//! Output for people and programs.
 
 mod line;
 mod show;
+mod spinner;
 mod table;
-mod waiting;
 
 pub(crate) use {
     line::show_line,
     show::{show_error, show_job, show_value},
+    spinner::Spinner,
     table::show_table,
-    waiting::Waiting,
 };
--- a/crates/cli/src/output/show.rs
+++ b/crates/cli/src/output/show.rs
@@ -1,4 +1,4 @@
-//! Answers and errors, for people or as JSON.
+//! Prints answers and errors, as text or as JSON.
 
 use {
     crate::{CliError, Outcome, output::show_line},
@@ -11,7 +11,7 @@
     show_line(format_args!("{value:#}"));
 }
 
-/// Prints a job's page; returns what it says about the job.
+/// Prints a job's page; returns the exit code for the job's state.
 pub(crate) fn show_job(page: &Value, as_json: bool) -> Outcome {
     let outcome = outcome_of(page);
     if as_json {
@@ -22,7 +22,10 @@
     match outcome {
         Outcome::Done => show_line(format_args!("{name}: {}", style("complete").green())),
         Outcome::JobFailed => show_line(format_args!("{name}: {}", style("failed").red())),
-        _ => show_line(format_args!("{name}: {}, goes on", text(&page["state"]))),
+        _ => show_line(format_args!(
+            "{name}: {}, not ended yet",
+            text(&page["state"])
+        )),
     }
     for (index, task) in page["tasks"].as_array().into_iter().flatten().enumerate() {
         show_line(format_args!("  {index}: {}", task_line(task)));
@@ -30,7 +33,7 @@
     outcome
 }
 
-/// Prints an error.
+/// Prints an error: to standard output as JSON, or to standard error as text.
 pub(crate) fn show_error(error: &CliError, as_json: bool) {
     match error {
         CliError::Problem(problem) if as_json => show_value(&json!(problem)),
@@ -41,7 +44,7 @@
 
 fn outcome_of(page: &Value) -> Outcome {
     if page["state"] != "ended" {
-        Outcome::StillOpen
+        Outcome::JobPending
     } else if page["status"] == "complete" {
         Outcome::Done
     } else {
@@ -51,9 +54,9 @@
 
 fn task_line(task: &Value) -> String {
     let outcome = text(&task["outcome"]);
-    let more = ["output", "error", "reason"];
-    match more.iter().find_map(|key| task[*key].as_str()) {
-        Some(more) => format!("{outcome}: {more}"),
+    let details = ["output", "error", "reason"];
+    match details.iter().find_map(|key| task[*key].as_str()) {
+        Some(detail) => format!("{outcome}: {detail}"),
         None => outcome,
     }
 }
--- a/crates/cli/src/output/waiting.rs
+++ b/crates/cli/src/output/spinner.rs
@@ -1,34 +1,34 @@
-//! Shows that a command waits.
+//! Indicator of a command that waits.
 
 use {
     indicatif::ProgressBar,
     std::io::{IsTerminal, stderr},
 };
 
-/// Shows that a command waits, where there is a terminal.
+/// Spinner with a message on standard error; hidden if that is no terminal.
 #[derive(Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct Spinner {
     bar: ProgressBar,
 }
 
-impl Waiting {
-    /// Starts to show what is waited for.
-    pub(crate) fn new(what: impl Into<String>) -> Self {
+impl Spinner {
+    /// Creates a spinner; the message names what the command waits for.
+    pub(crate) fn new(message: impl Into<String>) -> Self {
         let bar = if stderr().is_terminal() {
             ProgressBar::new_spinner()
         } else {
             ProgressBar::hidden()
         };
-        bar.set_message(what.into());
+        bar.set_message(message.into());
         Self { bar }
     }
 
-    /// Draws the next state.
+    /// Draws the next frame.
     pub(crate) fn draw(&self) {
         self.bar.tick();
     }
 
-    /// Clears what was drawn.
+    /// Clears the spinner from the terminal.
     pub(crate) fn close(self) {
         self.bar.finish_and_clear();
     }
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a command.
+//! Runs commands.
 
 use {
     crate::{
@@ -10,13 +10,13 @@
     std::io::{IsTerminal, stdout},
 };
 
-/// Variable that turns colours off.
+/// Environment variable that turns colours off if it is not empty.
 const NO_COLOR: &str = "NO_COLOR";
 
-/// Runs a command; shows its error.
+/// Runs a command, prints its error if it fails, and returns its exit code.
 pub async fn run(command: Command) -> Outcome {
-    let may_colour = std::env::var_os(NO_COLOR).is_none_or(|value| value.is_empty());
-    console::set_colors_enabled(may_colour && stdout().is_terminal());
+    let allows_colors = std::env::var_os(NO_COLOR).is_none_or(|value| value.is_empty());
+    console::set_colors_enabled(allows_colors && stdout().is_terminal());
     let as_json = command.wants_json();
     match run_command(command).await {
         Ok(outcome) => outcome,
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -1,9 +1,10 @@
-//! The site that a command talks to, from options, variables and settings.
+//! The site that a command uses: addresses and tokens from options, environment
+//! variables and settings.
 
 use {
     crate::{
         CliConf, CliError,
-        arguments::{CallerOptions, Common, OperatorOptions},
+        arguments::{CallerOptions, CommonOptions, OperatorOptions},
     },
     std::{
         fs,
@@ -12,21 +13,21 @@
     },
 };
 
-/// The site as a caller sees it.
+/// What a caller's command needs to reach a site.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerSite {
     /// Address of an entry for callers.
     pub(crate) callers: SocketAddr,
-    /// Contract under which is asked.
+    /// Contract of the requests.
     pub(crate) contract: String,
     /// Token of the contract.
     pub(crate) token: String,
 }
 
-/// The site as an operator sees it.
+/// What an operator's command needs to reach a site.
 #[derive(Clone, Debug)]
 pub(crate) struct OperatorSite {
-    /// Addresses of entries for operators; the first takes changes.
+    /// Addresses of entries for operators, at least one; changes go to the first.
     pub(crate) entries: Vec<SocketAddr>,
     /// Addresses of agents for operators.
     pub(crate) agents: Vec<SocketAddr>,
@@ -35,17 +36,19 @@
 }
 
 impl CallerSite {
-    /// Puts together options and settings.
-    pub(crate) fn new(options: CallerOptions, common: &Common) -> Result<Self, CliError> {
+    /// Combines options and settings; options take precedence.
+    pub(crate) fn new(options: CallerOptions, common: &CommonOptions) -> Result<Self, CliError> {
         let conf = load_conf(common)?;
         let callers = options.callers.or(conf.callers);
         let callers = callers.ok_or(CliError::Missing(
-            "no address: give --callers, CHESTNUTRUN_CALLERS or `callers` of --conf",
+            "no address of an entry: set --callers, CHESTNUTRUN_CALLERS or `callers` in the --conf \
+             file",
         ))?;
-        let of_contract = conf.contract_token_files.get(&options.contract);
-        let token_file = options.token_file.or(of_contract.cloned());
+        let from_conf = conf.contract_token_files.get(&options.contract);
+        let token_file = options.token_file.or(from_conf.cloned());
         let token_file = token_file.ok_or(CliError::Missing(
-            "no token: give --token-file, CHESTNUTRUN_TOKEN_FILE or `contract_token_files` of --conf",
+            "no token: set --token-file, CHESTNUTRUN_TOKEN_FILE or `contract_token_files` in the \
+             --conf file",
         ))?;
         Ok(Self {
             callers,
@@ -64,7 +67,7 @@
 }
 
 impl OperatorSite {
-    /// Returns the same site without its agents.
+    /// Returns a copy of the site without its agents.
     pub(crate) fn entries_only(&self) -> Self {
         Self {
             agents: Vec::new(),
@@ -72,37 +75,38 @@
         }
     }
 
-    /// Puts together options and settings.
-    pub(crate) fn new(options: OperatorOptions, common: &Common) -> Result<Self, CliError> {
+    /// Combines options and settings; options take precedence.
+    pub(crate) fn new(options: OperatorOptions, common: &CommonOptions) -> Result<Self, CliError> {
         let conf = load_conf(common)?;
-        let given = |options: Vec<SocketAddr>, conf: Vec<SocketAddr>| {
+        let options_or_conf = |options: Vec<SocketAddr>, conf: Vec<SocketAddr>| {
             if options.is_empty() { conf } else { options }
         };
-        let entries = given(options.operators, conf.operators);
+        let entries = options_or_conf(options.operators, conf.operators);
         if entries.is_empty() {
             return Err(CliError::Missing(
-                "no address: give --operators, CHESTNUTRUN_OPERATORS or `operators` of --conf",
+                "no address of an entry: set --operators, CHESTNUTRUN_OPERATORS or `operators` in the \
+                 --conf file",
             ));
         }
         let token_file = options.operator_token_file.or(conf.operator_token_file);
         let token_file = token_file.ok_or(CliError::Missing(
-            "no token: give --operator-token-file, CHESTNUTRUN_OPERATOR_TOKEN_FILE or \
-             `operator_token_file` of --conf",
+            "no token: set --operator-token-file, CHESTNUTRUN_OPERATOR_TOKEN_FILE or \
+             `operator_token_file` in the --conf file",
         ))?;
         Ok(Self {
             entries,
-            agents: given(options.agents, conf.agents),
+            agents: options_or_conf(options.agents, conf.agents),
             token: read_token(&token_file)?,
         })
     }
 
-    /// Returns the URL of a path at the entry that takes changes.
+    /// Returns the URL of a path at the first entry.
     pub(crate) fn url(&self, path: &str) -> String {
         format!("http://{}{path}", self.entries[0])
     }
 }
 
-/// Reads a token from its file.
+/// Reads a token from a file, without the white space around it.
 pub(crate) fn read_token(path: &Path) -> Result<String, CliError> {
     match fs::read_to_string(path) {
         Ok(text) => Ok(text.trim().to_owned()),
@@ -113,14 +117,16 @@
     }
 }
 
-fn load_conf(common: &Common) -> Result<CliConf, CliError> {
+/// Loads the settings file, if one is given. Paths in it are relative to its
+/// folder.
+fn load_conf(common: &CommonOptions) -> Result<CliConf, CliError> {
     let Some(path) = &common.conf else {
         return Ok(CliConf::default());
     };
     let mut conf: CliConf = chestnutrun_settings::load(path)?;
     let folder = path.parent().unwrap_or(Path::new("")).to_owned();
-    let beside = |file: &mut PathBuf| *file = folder.join(&*file);
-    conf.operator_token_file.iter_mut().for_each(beside);
-    conf.contract_token_files.values_mut().for_each(beside);
+    let resolve = |file: &mut PathBuf| *file = folder.join(&*file);
+    conf.operator_token_file.iter_mut().for_each(resolve);
+    conf.contract_token_files.values_mut().for_each(resolve);
     Ok(conf)
 }
