--- a/crates/decisions/src/owner/admission.rs
+++ b/crates/decisions/src/owner/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which submissions become jobs.
+//! Admission: decides which submissions become jobs.
 
 use {
     crate::{
@@ -13,16 +13,16 @@
     std::time::{Duration, SystemTime},
 };
 
-/// Longest time after which another try is sensible.
+/// Longest retry delay that a refusal suggests.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Shortest time after which another try is sensible.
-pub(super) const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Shortest retry delay that a refusal suggests.
+pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl OwnerMachine {
-    /// Checks a new submission against its contract.
-    pub(super) fn admission(&self, now: Now, submit: &Submit) -> Result<(), Refusal> {
-        let later = Some(now.wall + RETRY_AFTER);
+    /// Checks whether the limits of its contract admit a new submission.
+    pub(super) fn check_admission(&self, now: Now, submit: &Submit) -> Result<(), Refusal> {
+        let later = Some(now.wall + MIN_RETRY_AFTER);
         if self.leaving {
             return Err(refusal(RefusalReason::Stopping, later));
         }
@@ -49,29 +49,32 @@
         Ok(())
     }
 
-    /// Returns when a contract that is full has room again, as its tasks end now.
+    /// Estimates, from the rate at which its tasks end now, how long a contract
+    /// takes to have room again.
     fn retry_after(&self, now: Now, contract: &ContractId) -> Duration {
         let drains_in = self.policy.drains_in(now, contract);
-        let drains_in = drains_in.unwrap_or(RETRY_AFTER);
-        drains_in.clamp(RETRY_AFTER, MAX_RETRY_AFTER)
+        let drains_in = drains_in.unwrap_or(MIN_RETRY_AFTER);
+        drains_in.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
+    /// Records a new job and queues its tasks.
     pub(super) fn admit(&mut self, now: Now, from: &EntryId, submit: Submit) {
         let wants_receipt = submit.wants_receipt;
         let mut state = new_job(now, submit);
-        state.askers.insert(from.clone());
+        state.waiting_entries.insert(from.clone());
         let job = state.job.clone();
         let digest = Some(state.digest);
         self.insert_job(state);
         if wants_receipt {
-            let accepted = self.reply_about(job.clone(), digest, Reply::Accepted);
+            let accepted = self.job_reply(job.clone(), digest, Reply::Accepted);
             self.reply(from, accepted);
         }
         self.enqueue_waiting(now, &job);
     }
 
     pub(super) fn insert_job(&mut self, state: JobState) {
-        self.forget.push_back((state.forget_at, state.job.clone()));
+        self.forget_queue
+            .push_back((state.forget_at, state.job.clone()));
         self.jobs.insert(state.job.clone(), state);
     }
 
@@ -82,15 +85,16 @@
         let Some(spec) = &state.spec else {
             return;
         };
-        for task in state.waiting() {
+        for task in state.waiting_tasks() {
             if let Some(waiting) = waiting_task(now, spec, task) {
                 self.policy.enqueue(now, waiting, false);
             }
         }
     }
 
-    /// Puts a task back whose start was proved not to have happened; returns
-    /// whether it had been started.
+    /// Returns a task to the queue after its start proved not to have happened.
+    ///
+    /// Returns whether the task counted as started before.
     pub(super) fn requeue(&mut self, now: Now, task: &TaskRef) -> bool {
         let Some(state) = self.jobs.get_mut(&task.job()) else {
             return false;
@@ -110,7 +114,7 @@
     }
 }
 
-/// Makes a job of a submission, recorded from now on.
+/// Creates the job of a submission; its record is kept for [`RECORD_WINDOW`].
 pub(super) fn new_job(now: Now, submit: Submit) -> JobState {
     let forget_at = now.instant + RECORD_WINDOW;
     JobState::new(submit.job, submit.digest, submit.spec, forget_at)
@@ -121,11 +125,11 @@
 }
 
 fn waiting_task(now: Now, spec: &JobSpec, task: TaskRef) -> Option<Waiting> {
-    let of_task = spec.tasks.get(usize::from(task.index))?;
+    let task_spec = spec.tasks.get(usize::from(task.index))?;
     Some(Waiting {
         task,
-        kind: KindId::clone(&of_task.kind),
-        declared_run_time: of_task.declared_run_time,
+        kind: KindId::clone(&task_spec.kind),
+        declared_run_time: task_spec.declared_run_time,
         urgency: spec.urgency,
         since: now.instant,
         deadline: spec.deadline,
--- a/crates/decisions/src/owner/agent_reach.rs
+++ b/crates/decisions/src/owner/agent_reach.rs
@@ -1,15 +1,16 @@
-//! How far an owner has got with an agent.
+//! Stages of an agent's link to an owner.
 
-/// How far an owner has got with an agent; each step includes those before.
+/// Stage of an agent's link to an owner, in ascending order: each stage requires
+/// the one before.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum AgentReach {
     /// No link is open.
     #[default]
-    Away,
+    Disconnected,
     /// A link is open.
     Linked,
-    /// The agent shut out earlier ownerships.
+    /// The agent refuses the orders of earlier ownerships.
     Fenced,
-    /// The agent may start work under this ownership.
+    /// The agent may start tasks under this ownership.
     Leased,
 }
--- a/crates/decisions/src/owner/agents.rs
+++ b/crates/decisions/src/owner/agents.rs
@@ -1,4 +1,4 @@
-//! Agents that come, go and tell their records.
+//! Links to agents: fencing, leases, and the records that agents report.
 
 use {
     crate::{
@@ -19,8 +19,8 @@
     pub(super) fn agent_up(&mut self, now: Now, hello: AgentHello) {
         let endpoint = hello.endpoint.clone();
         let known = self.endpoints.get(&endpoint);
-        if known.is_some_and(|state| !state.is_run(hello.incarnation)) {
-            self.lose_run(now, &endpoint);
+        if known.is_some_and(|state| !state.is_same_run(hello.incarnation)) {
+            self.give_up_run(now, &endpoint);
         }
         let draining = self.configuration.is_draining(&endpoint);
         let state = self
@@ -39,8 +39,8 @@
         self.refresh_slots(now, &endpoint);
     }
 
-    pub(super) fn acknowledged(&mut self, now: Now, at: Option<Instant>, agents: KnownAgents) {
-        self.takeover.learn(agents);
+    pub(super) fn on_acknowledged(&mut self, now: Now, at: Option<Instant>, agents: KnownAgents) {
+        self.takeover.add_agents(agents);
         if let Some(at) = at {
             self.takeover.acknowledge(at);
         }
@@ -53,15 +53,15 @@
         let Some(state) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        if !state.is_run(run) {
+        if !state.is_same_run(run) {
             return;
         }
-        state.reach = AgentReach::Away;
+        state.reach = AgentReach::Disconnected;
         state.lost_at = Some(now.instant + AGENT_LOST_AFTER);
         self.refresh_slots(now, endpoint);
     }
 
-    pub(super) fn fenced(&mut self, now: Now, endpoint: &EndpointId, reply: FenceReply) {
+    pub(super) fn on_fence_reply(&mut self, now: Now, endpoint: &EndpointId, reply: FenceReply) {
         if reply.epoch != self.conf.epoch {
             return;
         }
@@ -70,7 +70,7 @@
         };
         state.reach = state.reach.max(AgentReach::Fenced);
         let run = (endpoint.clone(), state.hello.incarnation);
-        self.takeover.read(&run, reply.jobs);
+        self.takeover.add_job_list(&run, reply.jobs);
         self.reconcile(now, endpoint, &reply.running);
         self.resume_recoveries(&run);
         self.refresh_slots(now, endpoint);
@@ -79,8 +79,9 @@
         }
     }
 
-    /// Takes an agent's word on its lease: without one it would refuse starts.
-    pub(super) fn leased(&mut self, now: Now, endpoint: &EndpointId, leased: Option<Epoch>) {
+    /// Records whether an agent holds a lease of this ownership. Without one, the
+    /// agent refuses every start.
+    pub(super) fn on_lease(&mut self, now: Now, endpoint: &EndpointId, leased: Option<Epoch>) {
         let reach = if leased == Some(self.conf.epoch) {
             AgentReach::Leased
         } else {
@@ -94,28 +95,29 @@
         self.refresh_slots(now, endpoint);
     }
 
-    pub(super) fn looked_up(&mut self, now: Now, endpoint: &EndpointId, reply: LookupReply) {
+    pub(super) fn on_lookup_reply(&mut self, now: Now, endpoint: &EndpointId, reply: LookupReply) {
         let Some(state) = self.endpoints.get(endpoint) else {
             return;
         };
         let run = (endpoint.clone(), state.hello.incarnation);
         for record in &reply.records {
-            self.take_record(now, endpoint, record);
+            self.apply_record(now, endpoint, record);
         }
         for start in &reply.forgone {
             let task = reply.job.task(start.index);
             if self.attempt(&task) == start.attempt
                 && self.free_slot(now, endpoint, &task, SlotUse::Unknown)
             {
-                self.undo_recovered(&task);
-                self.start_again(now, &task);
+                self.undo_recovered_start(&task);
+                self.retry_start(now, &task);
             }
         }
         self.refresh_slots(now, endpoint);
-        self.recovery_read(now, &run, reply);
+        self.add_recovered_records(now, &run, reply);
     }
 
-    pub(super) fn lose_agents(&mut self, now: Now) {
+    /// Gives up runs of agents that stayed disconnected for too long.
+    pub(super) fn give_up_lost_agents(&mut self, now: Now) {
         let lost: Vec<EndpointId> = self
             .endpoints
             .iter()
@@ -123,16 +125,19 @@
             .map(|(endpoint, _)| endpoint.clone())
             .collect();
         for endpoint in lost {
-            self.lose_run(now, &endpoint);
+            self.give_up_run(now, &endpoint);
         }
     }
 
-    /// Compares what the owner sent with what the agent runs.
+    /// Compares the starts that the owner sent with the tasks that the agent runs.
+    ///
+    /// Adopts running tasks that the owner did not know, and looks up starts
+    /// that are not running.
     fn reconcile(&mut self, now: Now, endpoint: &EndpointId, running: &[TaskRecord]) {
         let Some(state) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        let unsettled: Vec<TaskRef> = state
+        let not_running: Vec<TaskRef> = state
             .started
             .iter()
             .filter(|task| !running.iter().any(|record| record.task == **task))
@@ -143,13 +148,14 @@
                 self.policy.adopt(now, &record.task);
             }
         }
-        self.settle(endpoint, &unsettled);
+        self.look_up_starts(endpoint, &not_running);
     }
 
-    /// Asks what became of starts that the agent does not run.
-    fn settle(&mut self, endpoint: &EndpointId, unsettled: &[TaskRef]) {
+    /// Requests the outcome of starts that the agent does not run, and voids
+    /// those that the agent has not received.
+    fn look_up_starts(&mut self, endpoint: &EndpointId, not_running: &[TaskRef]) {
         let mut by_job: IndexMap<JobRef, Vec<SentStart>> = IndexMap::new();
-        for task in unsettled {
+        for task in not_running {
             let start = SentStart {
                 index: task.index,
                 attempt: self.attempt(task),
@@ -166,30 +172,32 @@
         }
     }
 
-    /// Returns the number of a task's present start under this ownership.
+    /// Returns the attempt number of a task's current start under this
+    /// ownership; 0 if the task is not known.
     pub(super) fn attempt(&self, task: &TaskRef) -> Attempt {
         let job = self.jobs.get(&task.job());
         job.and_then(|job| job.attempt(task.index))
             .unwrap_or_default()
     }
 
-    fn take_record(&mut self, now: Now, endpoint: &EndpointId, record: &TaskRecord) {
+    fn apply_record(&mut self, now: Now, endpoint: &EndpointId, record: &TaskRecord) {
         if let RecordState::Ended(outcome) = &record.state {
             let finished = Finished {
                 task: record.task.clone(),
                 digest: record.digest,
                 outcome: outcome.clone(),
             };
-            self.finished(now, endpoint, finished);
+            self.on_finished(now, endpoint, finished);
         }
     }
 
-    /// Gives up on what was started under a run of an agent that is gone.
-    fn lose_run(&mut self, now: Now, endpoint: &EndpointId) {
+    /// Frees the slots of a lost run of an agent; the tasks that it was running
+    /// end with an unknown outcome.
+    fn give_up_run(&mut self, now: Now, endpoint: &EndpointId) {
         let Some(state) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        state.reach = AgentReach::Away;
+        state.reach = AgentReach::Disconnected;
         state.lost_at = None;
         let run = (endpoint.clone(), state.hello.incarnation);
         let tasks: Vec<TaskRef> = state.started.iter().cloned().collect();
@@ -197,7 +205,7 @@
             let was_sent = self.is_started_on(&task, endpoint);
             self.free_slot(now, endpoint, &task, SlotUse::Unknown);
             if let Some(recovery) = self.recoveries.get_mut(&task.job()) {
-                recovery.lose_task(&task);
+                recovery.end_as_unknown(&task);
             }
             if was_sent {
                 self.end_task(now, &task, TaskOutcome::OutcomeUnknown);
@@ -205,6 +213,6 @@
             }
         }
         self.refresh_slots(now, endpoint);
-        self.lose_recoveries(now, &run);
+        self.give_up_run_in_recoveries(now, &run);
     }
 }
--- a/crates/decisions/src/owner/endings.rs
+++ b/crates/decisions/src/owner/endings.rs
@@ -1,4 +1,4 @@
-//! How tasks and jobs end.
+//! Ends tasks and jobs, and frees their slots.
 
 use {
     crate::{
@@ -12,42 +12,44 @@
     std::time::Duration,
 };
 
-/// Most times that a task may be refused by agents before it is given up.
+/// Most refused starts of one task; one more ends the task as not run.
 const MAX_REFUSED_STARTS: u32 = 16;
 
-/// How long an owner leaves an agent alone that refused a start.
+/// How long an owner sends no start to an agent that refused one.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(50);
 
 impl OwnerMachine {
-    pub(super) fn finished(&mut self, now: Now, endpoint: &EndpointId, finished: Finished) {
-        if self.is_of_other_body(&finished) {
-            self.other_body_ran(now, endpoint, &finished.task);
+    pub(super) fn on_finished(&mut self, now: Now, endpoint: &EndpointId, finished: Finished) {
+        if self.ran_other_body(&finished) {
+            self.free_run_of_other_body(now, endpoint, &finished.task);
             return;
         }
         let slot_use = slot_use(&finished.outcome);
         if !self.free_slot(now, endpoint, &finished.task, slot_use) {
             return;
         }
-        self.judge_endpoint(now, endpoint, &finished);
+        self.update_health(now, endpoint, &finished);
         self.refresh_slots(now, endpoint);
         let job = finished.task.job();
         if let Some(recovery) = self.recoveries.get_mut(&job) {
-            recovery.end(&finished);
+            recovery.end_task(&finished);
         }
         self.end_task(now, &finished.task, finished.outcome);
         self.answer_if_ended(&job);
     }
 
-    /// Whether a run belongs to another body than the job that is known under
-    /// its key.
-    fn is_of_other_body(&self, finished: &Finished) -> bool {
+    /// Whether an agent ran the task for another body than that of the job that
+    /// the owner knows under the same key.
+    fn ran_other_body(&self, finished: &Finished) -> bool {
         let job = self.jobs.get(&finished.task.job());
         job.is_some_and(|job| job.digest != finished.digest)
     }
 
-    /// Frees what a run of another body held. The agent refuses every start
-    /// under that name, so a task that was sent there has not run.
-    fn other_body_ran(&mut self, now: Now, endpoint: &EndpointId, task: &TaskRef) {
+    /// Frees the slot of a run that belonged to another body under the same key.
+    ///
+    /// Once an agent has run a task under one body, it refuses every start of that
+    /// task under another, so the known job's task has not run at this agent.
+    fn free_run_of_other_body(&mut self, now: Now, endpoint: &EndpointId, task: &TaskRef) {
         let was_sent = self.is_started_on(task, endpoint);
         self.free_slot(now, endpoint, task, SlotUse::Unknown);
         self.refresh_slots(now, endpoint);
@@ -58,8 +60,8 @@
         }
     }
 
-    /// Learns from a task's end whether its endpoint fails what it starts.
-    fn judge_endpoint(&mut self, now: Now, endpoint: &EndpointId, finished: &Finished) {
+    /// Records a task's outcome in the health of its endpoint.
+    fn update_health(&mut self, now: Now, endpoint: &EndpointId, finished: &Finished) {
         let contract = &finished.task.contract;
         let job = self.jobs.get(&finished.task.job());
         let spec = job.and_then(|job| job.spec.as_ref());
@@ -75,9 +77,9 @@
                 }
             }
             TaskOutcome::FailedWhileRunning(_) => {
-                let is_of_endpoint = task
+                let is_endpoint_failure = task
                     .is_none_or(|task| self.kind_failures.failed(contract, &task.kind, endpoint));
-                if is_of_endpoint {
+                if is_endpoint_failure {
                     state.health.failed(now.instant);
                 }
             }
@@ -85,7 +87,7 @@
         }
     }
 
-    pub(super) fn start_refused(
+    pub(super) fn on_start_refused(
         &mut self,
         now: Now,
         endpoint: &EndpointId,
@@ -96,7 +98,7 @@
         {
             return;
         }
-        self.undo_recovered(&refused.task);
+        self.undo_recovered_start(&refused.task);
         if refused.reason == StartRefusal::KeyReused {
             let outcome = TaskOutcome::NotRun(RefusalReason::KeyReused);
             self.refresh_slots(now, endpoint);
@@ -112,14 +114,15 @@
         }
         self.refresh_slots(now, endpoint);
         if refused.reason == StartRefusal::EndpointRefused {
-            self.start_again(now, &refused.task);
+            self.retry_start(now, &refused.task);
         } else {
             self.requeue(now, &refused.task);
         }
     }
 
-    /// Queues a task again that an agent proved not to have started.
-    pub(super) fn start_again(&mut self, now: Now, task: &TaskRef) {
+    /// Requeues a task that proved not to have started; ends the task instead
+    /// after too many refused starts.
+    pub(super) fn retry_start(&mut self, now: Now, task: &TaskRef) {
         if !self.requeue(now, task) || self.count_refusal(task) <= MAX_REFUSED_STARTS {
             return;
         }
@@ -129,8 +132,8 @@
         self.answer_if_ended(&task.job());
     }
 
-    /// Whether a refusal is about the task's present start: the newest of this
-    /// ownership, or one of an earlier ownership that this one took over.
+    /// Whether a refusal concerns the task's current start: the newest one of
+    /// this ownership, or one of an earlier ownership that this one took over.
     fn is_current(&self, refused: &StartRefused) -> bool {
         let attempt = self.attempt(&refused.task);
         if refused.epoch == self.conf.epoch {
@@ -145,13 +148,15 @@
         job.map_or(0, |job| job.count_refusal(task.index))
     }
 
-    pub(super) fn undo_recovered(&mut self, task: &TaskRef) {
+    /// Removes a start that did not happen from the job's recovery, if one is
+    /// in progress.
+    pub(super) fn undo_recovered_start(&mut self, task: &TaskRef) {
         if let Some(recovery) = self.recoveries.get_mut(&task.job()) {
-            recovery.undo(task);
+            recovery.remove_start(task);
         }
     }
 
-    pub(super) fn end_late(&mut self, now: Now, task: &TaskRef) {
+    pub(super) fn end_past_deadline(&mut self, now: Now, task: &TaskRef) {
         self.end_task(now, task, TaskOutcome::DeadlinePassed);
         self.answer_if_ended(&task.job());
     }
@@ -162,6 +167,7 @@
         }
     }
 
+    /// Sends the answer to the entries that wait for it, once the job ended.
     pub(super) fn answer_if_ended(&mut self, job: &JobRef) {
         let Some(state) = self.jobs.get_mut(job) else {
             return;
@@ -169,15 +175,16 @@
         let Some(answer) = state.answer.clone() else {
             return;
         };
-        let askers = std::mem::take(&mut state.askers);
+        let waiting_entries = std::mem::take(&mut state.waiting_entries);
         let digest = Some(state.digest);
-        let reply = self.reply_about(job.clone(), digest, Reply::Answered(answer));
-        for asker in askers {
-            self.reply(&asker, reply.clone());
+        let reply = self.job_reply(job.clone(), digest, Reply::Answered(answer));
+        for entry in waiting_entries {
+            self.reply(&entry, reply.clone());
         }
     }
 
-    /// Frees the slot of a task; returns whether it held one there.
+    /// Frees the slot of a task at an endpoint; returns whether the task held
+    /// one there.
     pub(super) fn free_slot(
         &mut self,
         now: Now,
@@ -195,7 +202,7 @@
         true
     }
 
-    /// Whether the owner believes the task to be started on the endpoint.
+    /// Whether the owner recorded the task as started on the endpoint.
     pub(super) fn is_started_on(&self, task: &TaskRef, endpoint: &EndpointId) -> bool {
         let state = self
             .jobs
--- a/crates/decisions/src/owner/endpoint_state.rs
+++ b/crates/decisions/src/owner/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! What an owner knows of one endpoint.
+//! State of one endpoint at an owner.
 
 use {
     crate::{
@@ -10,22 +10,22 @@
     std::time::Instant,
 };
 
-/// What an owner knows of one endpoint and its agent.
+/// State of one endpoint and its agent, as the owner knows it.
 #[derive(Debug)]
 pub struct EndpointState {
-    /// The agent's announcement.
+    /// The newest announcement of the agent.
     pub hello: AgentHello,
-    /// How far the owner has got with the agent.
+    /// What the owner may do with the agent now.
     pub reach: AgentReach,
     /// Whether operators drained the endpoint.
     pub draining: bool,
-    /// When the owner gives up on an agent that went away.
+    /// When the owner gives up a disconnected agent; none while it is linked.
     pub lost_at: Option<Instant>,
-    /// When the owner tries again after the agent refused a start.
+    /// When starts may be sent again after the agent refused one.
     pub retry_at: Option<Instant>,
-    /// Tasks that were sent to it and have not ended.
+    /// Tasks that were sent to the agent and have not ended.
     pub started: IndexSet<TaskRef>,
-    /// Whether it fails what it starts.
+    /// Recent failures of tasks at the endpoint.
     pub health: Health,
 }
 
@@ -44,23 +44,23 @@
         }
     }
 
-    /// Whether it is the same run of the agent.
+    /// Whether `incarnation` is the known run of the agent.
     #[must_use]
-    pub fn is_run(&self, incarnation: Incarnation) -> bool {
+    pub fn is_same_run(&self, incarnation: Incarnation) -> bool {
         self.hello.incarnation == incarnation
     }
 
-    /// Returns its slots as the policy may use them.
+    /// Returns the slots that the policy may use at the moment `at`.
     #[must_use]
     pub fn slots(&self, at: Instant) -> EndpointSlots {
-        let reachable = self.reach == AgentReach::Leased;
-        let willing = !self.draining && !self.hello.leaving;
-        let rested = self.retry_at.is_none_or(|retry_at| at >= retry_at);
+        let leased = self.reach == AgentReach::Leased;
+        let accepting = !self.draining && !self.hello.leaving;
+        let pause_is_over = self.retry_at.is_none_or(|retry_at| at >= retry_at);
         let allowed = self.health.allowed(at, self.hello.slots);
         EndpointSlots {
             total: allowed,
             taken: u32::try_from(self.started.len()).unwrap_or(u32::MAX),
-            usable: reachable && willing && rested && allowed > 0,
+            usable: leased && accepting && pause_is_over && allowed > 0,
             suspect: self.health.is_suspect(),
         }
     }
--- a/crates/decisions/src/owner/health.rs
+++ b/crates/decisions/src/owner/health.rs
@@ -1,4 +1,4 @@
-//! Whether an endpoint fails what it starts.
+//! Quarantine of endpoints where tasks fail.
 
 use {
     chestnutrun_types::{ContractId, EndpointId, KindId},
@@ -6,54 +6,57 @@
     std::time::{Duration, Instant},
 };
 
-/// Most kinds whose failures are remembered.
+/// Most kinds of tasks whose failures are kept.
 const MAX_KINDS: usize = 10_000;
 
-/// Failures in a row after which an endpoint is set aside.
-const FAILURES_BEFORE_SET_ASIDE: u32 = 3;
+/// Consecutive failures after which an endpoint is quarantined.
+const FAILURES_BEFORE_QUARANTINE: u32 = 3;
 
-/// First time for which an endpoint is set aside.
-const FIRST_SET_ASIDE: Duration = Duration::from_secs(1);
+/// Length of an endpoint's first quarantine; each one after it is twice as long.
+const FIRST_QUARANTINE: Duration = Duration::from_secs(1);
 
-/// Most doublings of the time for which an endpoint is set aside.
+/// Most doublings of the length of a quarantine.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// Counts an endpoint's failures in a row.
+/// Counts an endpoint's consecutive failures and quarantines the endpoint.
+///
+/// After a quarantine, the endpoint runs one task at a time until one completes;
+/// a failure starts the next quarantine.
 #[derive(Debug, Default)]
 pub struct Health {
     failures: u32,
-    set_asides: u32,
-    set_aside_until: Option<Instant>,
+    quarantines: u32,
+    quarantined_until: Option<Instant>,
 }
 
 impl Health {
-    /// Learns that a task completed.
+    /// Records that a task completed, which ends any quarantine.
     pub fn succeeded(&mut self) {
         *self = Self::default();
     }
 
-    /// Learns that a task failed.
+    /// Records that a task failed at the moment `at`.
     pub fn failed(&mut self, at: Instant) {
         self.failures += 1;
-        let is_probe = self.set_aside_until.is_some();
-        if self.failures >= FAILURES_BEFORE_SET_ASIDE || is_probe {
-            let doublings = self.set_asides.min(MAX_DOUBLINGS);
-            self.set_aside_until = Some(at + FIRST_SET_ASIDE * 2_u32.pow(doublings));
-            self.set_asides += 1;
+        let is_probe = self.quarantined_until.is_some();
+        if self.failures >= FAILURES_BEFORE_QUARANTINE || is_probe {
+            let doublings = self.quarantines.min(MAX_DOUBLINGS);
+            self.quarantined_until = Some(at + FIRST_QUARANTINE * 2_u32.pow(doublings));
+            self.quarantines += 1;
             self.failures = 0;
         }
     }
 
-    /// Whether nothing completed since the last failure.
+    /// Whether a task failed and none has completed since.
     #[must_use]
     pub fn is_suspect(&self) -> bool {
-        self.failures > 0 || self.set_asides > 0
+        self.failures > 0 || self.quarantines > 0
     }
 
-    /// Returns how many tasks the endpoint may hold at once.
+    /// Returns how many tasks the endpoint may run at once, out of `slots`.
     #[must_use]
     pub fn allowed(&self, at: Instant, slots: u32) -> u32 {
-        match self.set_aside_until {
+        match self.quarantined_until {
             None => slots,
             Some(until) if at < until => 0,
             Some(_) => 1,
@@ -61,30 +64,31 @@
     }
 }
 
-/// Tells failures of endpoints from those of tasks that fail everywhere.
+/// Distinguishes faulty endpoints from kinds of tasks that fail on every endpoint.
 #[derive(Debug, Default)]
 pub struct KindFailures {
-    failed_at: IndexMap<(ContractId, KindId), IndexSet<EndpointId>>,
+    failed_endpoints: IndexMap<(ContractId, KindId), IndexSet<EndpointId>>,
 }
 
 impl KindFailures {
-    /// Learns that a task of a kind completed.
+    /// Records that a task of a kind completed.
     pub fn succeeded(&mut self, contract: &ContractId, kind: &KindId) {
-        if !self.failed_at.is_empty() {
-            self.failed_at
+        if !self.failed_endpoints.is_empty() {
+            self.failed_endpoints
                 .swap_remove(&(contract.clone(), kind.clone()));
         }
     }
 
-    /// Learns that a task of a kind failed at an endpoint; returns whether
-    /// that speaks against the endpoint: the kind failed nowhere else since it
-    /// last completed.
+    /// Records that a task of a kind failed at an endpoint.
+    ///
+    /// Returns whether the failure counts against the endpoint, which is so if
+    /// the kind has failed nowhere else since it last completed.
     pub fn failed(&mut self, contract: &ContractId, kind: &KindId, endpoint: &EndpointId) -> bool {
-        if self.failed_at.len() >= MAX_KINDS {
-            self.failed_at.swap_remove_index(0);
+        if self.failed_endpoints.len() >= MAX_KINDS {
+            self.failed_endpoints.swap_remove_index(0);
         }
         let key = (contract.clone(), kind.clone());
-        let endpoints = self.failed_at.entry(key).or_default();
+        let endpoints = self.failed_endpoints.entry(key).or_default();
         endpoints.insert(endpoint.clone());
         endpoints.len() == 1
     }
--- a/crates/decisions/src/owner/job_state.rs
+++ b/crates/decisions/src/owner/job_state.rs
@@ -1,4 +1,4 @@
-//! What an owner knows of one job.
+//! State of one job at its owner.
 
 use {
     chestnutrun_types::{
@@ -9,14 +9,14 @@
     std::time::Instant,
 };
 
-/// Where a task of a job is.
+/// State of one task of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TaskState {
-    /// It waits for a slot.
+    /// The task waits for a slot.
     Waiting,
-    /// It was sent to an agent, under that run of the agent.
+    /// The task was sent to this run of the endpoint's agent.
     Started(EndpointId, Incarnation),
-    /// It ended.
+    /// The task ended with this outcome.
     Ended(TaskOutcome),
 }
 
@@ -27,13 +27,13 @@
     pub job: JobRef,
     /// Digest of the submission's body.
     pub digest: BodyDigest,
-    /// What was asked for; empty once the job ended.
+    /// Specification of the job; none once the job ended.
     pub spec: Option<JobSpec>,
     /// Entries that wait for the answer.
-    pub askers: IndexSet<EntryId>,
-    /// The answer, once every task ended.
+    pub waiting_entries: IndexSet<EntryId>,
+    /// The answer; none until every task ended.
     pub answer: Option<JobAnswer>,
-    /// When the record may be forgotten.
+    /// When the record may be dropped, if the job ended.
     pub forget_at: Instant,
     tasks: Vec<TaskState>,
     attempts: Vec<Attempt>,
@@ -50,7 +50,7 @@
             job,
             digest,
             spec: Some(spec),
-            askers: IndexSet::new(),
+            waiting_entries: IndexSet::new(),
             answer: None,
             forget_at,
             tasks: vec![TaskState::Waiting; count],
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Returns the names of the tasks that wait.
-    pub fn waiting(&self) -> impl Iterator<Item = TaskRef> + '_ {
+    /// Returns the names of the tasks that wait for a slot.
+    pub fn waiting_tasks(&self) -> impl Iterator<Item = TaskRef> + '_ {
         self.tasks
             .iter()
             .zip(0..)
@@ -75,20 +75,20 @@
         self.tasks.get(usize::from(index))
     }
 
-    /// Notes that a task was sent to an agent.
+    /// Records that a task was sent to an agent.
     pub fn start(&mut self, index: TaskIndex, endpoint: EndpointId, incarnation: Incarnation) {
         if let Some(state) = self.tasks.get_mut(usize::from(index)) {
             *state = TaskState::Started(endpoint, incarnation);
         }
     }
 
-    /// Returns the number of the task's present or next start.
+    /// Returns the attempt number of the task's current or next start.
     #[must_use]
     pub fn attempt(&self, index: TaskIndex) -> Option<Attempt> {
         self.attempts.get(usize::from(index)).copied()
     }
 
-    /// Notes that a started task proved not to have started.
+    /// Lets a task wait again after its start proved not to have happened.
     pub fn requeue(&mut self, index: TaskIndex) {
         let position = usize::from(index);
         if let Some(state) = self.tasks.get_mut(position) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Counts a refusal against the task's retry budget; returns the count.
+    /// Counts a refused start of a task; returns the new count.
     pub fn count_refusal(&mut self, index: TaskIndex) -> u32 {
         match self.refused_starts.get_mut(usize::from(index)) {
             Some(count) => {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Notes how a task ended; returns whether it had not ended before.
+    /// Records how a task ended; returns false if the task had ended before.
     pub fn end(&mut self, index: TaskIndex, outcome: TaskOutcome) -> bool {
         let Some(state) = self.tasks.get_mut(usize::from(index)) else {
             return false;
--- a/crates/decisions/src/owner/messages.rs
+++ b/crates/decisions/src/owner/messages.rs
@@ -1,4 +1,4 @@
-//! Inputs and actions of an owner's machine.
+//! Inputs and actions of the owner machine.
 
 use {
     crate::owner::Request,
@@ -9,54 +9,54 @@
     std::{rc::Rc, time::Instant},
 };
 
-/// What an owner's machine takes.
+/// Input of the owner machine.
 #[derive(Clone, Debug)]
 pub enum OwnerInput {
-    /// An entry asks for something.
+    /// An entry sent a request.
     Request(EntryId, Request),
-    /// The ownership was in force at a moment that is not before this one.
+    /// The ownership was still in force at this moment or later.
     Confirmed(Instant),
-    /// Another entry took note of the ownership and told what agents it
-    /// knows; with a moment where enough entries did.
+    /// Another entry acknowledged the ownership and reported the agents that it
+    /// knows. The moment is set once enough entries have acknowledged.
     Acknowledged(Option<Instant>, KnownAgents),
     /// An agent's link opened.
     AgentUp(AgentHello),
     /// An agent's link closed.
     AgentDown(EndpointId, Incarnation),
-    /// An agent shut out earlier ownerships.
+    /// An agent fenced earlier ownerships and reported its tasks.
     FenceReply(EndpointId, FenceReply),
-    /// An agent told under which ownership it may start work now, if any.
+    /// An agent reported the epoch under which it may start tasks now, if any.
     AgentLease(EndpointId, Option<Epoch>),
     /// An agent did not start a task.
     StartRefused(EndpointId, StartRefused),
     /// An agent's task ended.
     Finished(EndpointId, Finished),
-    /// An agent told its records of a job.
+    /// An agent reported its records of a job.
     LookupReply(EndpointId, LookupReply),
     /// A newer configuration is in force.
     Configured(Rc<Configuration>),
-    /// The process was told to stop: accept nothing new.
+    /// The process is stopping: new jobs must be refused.
     Leave,
     /// Time passed.
     Tick,
 }
 
-/// What an owner sends to an agent.
+/// Order of an owner to an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentOrder {
-    /// Shut out earlier ownerships.
+    /// Refuse orders of earlier ownerships from now on.
     Fence(Fence),
     /// Start a task.
     Start(Start),
-    /// Tell the records of a job.
+    /// Report the records of a job, and void the starts that it names.
     Lookup(Lookup),
 }
 
-/// What an owner's machine asks its front end to do.
+/// Action that the owner machine returns for execution.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OwnerAction {
     /// Send a message to the agent of an endpoint.
     Order(EndpointId, AgentOrder),
-    /// Send a reply to the entry that asked.
+    /// Send a reply to an entry.
     Reply(EntryId, JobReply),
 }
--- a/crates/decisions/src/owner/mod.rs
+++ b/crates/decisions/src/owner/mod.rs
@@ -1,5 +1,5 @@
-//! Decisions of a shard's owner: admission, starts, answers and what became of
-//! work under earlier ownerships.
+//! Decisions of a shard's owner: admission, starts, answers, and recovery of jobs
+//! from earlier ownerships.
 
 mod admission;
 mod agent_reach;
--- a/crates/decisions/src/owner/owner_machine.rs
+++ b/crates/decisions/src/owner/owner_machine.rs
@@ -1,4 +1,4 @@
-//! The machine of one shard's owner.
+//! State machine of one shard's owner.
 
 use {
     crate::{
@@ -15,18 +15,18 @@
     std::{collections::VecDeque, rc::Rc, time::Instant},
 };
 
-/// What an owner's machine is made for.
+/// Identity of one ownership of a shard.
 #[derive(Clone, Debug)]
 pub struct OwnerConf {
-    /// The shard.
+    /// The owned shard.
     pub shard: ShardId,
-    /// Number of the ownership.
+    /// Epoch of the ownership.
     pub epoch: Epoch,
-    /// The owning entry.
+    /// The entry that owns the shard.
     pub me: EntryId,
 }
 
-/// Admits jobs, starts their tasks and gathers their answers.
+/// Admits jobs, sends their tasks to agents and collects the outcomes.
 #[derive(Debug)]
 pub struct OwnerMachine {
     pub(super) conf: OwnerConf,
@@ -34,7 +34,7 @@
     pub(super) policy: Box<dyn Policy>,
     pub(super) takeover: Takeover,
     pub(super) jobs: IndexMap<JobRef, JobState>,
-    pub(super) forget: VecDeque<(Instant, JobRef)>,
+    pub(super) forget_queue: VecDeque<(Instant, JobRef)>,
     pub(super) endpoints: IndexMap<EndpointId, EndpointState>,
     pub(super) slots: Slots,
     pub(super) kind_failures: KindFailures,
@@ -43,7 +43,7 @@
     pub(super) gate: ReplyGate,
     pub(super) leaving: bool,
     pub(super) actions: Vec<OwnerAction>,
-    pub(super) sure_actions: Vec<OwnerAction>,
+    pub(super) ungated_actions: Vec<OwnerAction>,
 }
 
 impl OwnerMachine {
@@ -62,7 +62,7 @@
             policy,
             takeover,
             jobs: IndexMap::new(),
-            forget: VecDeque::new(),
+            forget_queue: VecDeque::new(),
             endpoints: IndexMap::new(),
             slots: Slots::default(),
             kind_failures: KindFailures::default(),
@@ -71,49 +71,49 @@
             gate: ReplyGate::default(),
             leaving: false,
             actions: Vec::new(),
-            sure_actions: Vec::new(),
+            ungated_actions: Vec::new(),
         }
     }
 
-    /// Takes one input.
+    /// Processes one input and returns the resulting actions.
     pub fn handle(&mut self, now: Now, input: OwnerInput) -> Vec<OwnerAction> {
         match input {
-            OwnerInput::Request(from, request) => self.request(now, from, request),
+            OwnerInput::Request(from, request) => self.on_request(now, from, request),
             OwnerInput::Confirmed(at) => self.release_replies(at),
-            OwnerInput::Acknowledged(at, agents) => self.acknowledged(now, at, agents),
+            OwnerInput::Acknowledged(at, agents) => self.on_acknowledged(now, at, agents),
             OwnerInput::AgentUp(hello) => self.agent_up(now, hello),
             OwnerInput::AgentDown(endpoint, run) => self.agent_down(now, &endpoint, run),
-            OwnerInput::FenceReply(endpoint, reply) => self.fenced(now, &endpoint, reply),
-            OwnerInput::AgentLease(endpoint, leased) => self.leased(now, &endpoint, leased),
+            OwnerInput::FenceReply(endpoint, reply) => self.on_fence_reply(now, &endpoint, reply),
+            OwnerInput::AgentLease(endpoint, leased) => self.on_lease(now, &endpoint, leased),
             OwnerInput::StartRefused(endpoint, refused) => {
-                self.start_refused(now, &endpoint, &refused);
+                self.on_start_refused(now, &endpoint, &refused);
             }
-            OwnerInput::Finished(endpoint, finished) => self.finished(now, &endpoint, finished),
-            OwnerInput::LookupReply(endpoint, reply) => self.looked_up(now, &endpoint, reply),
-            OwnerInput::Configured(configuration) => self.configured(now, configuration),
+            OwnerInput::Finished(endpoint, finished) => self.on_finished(now, &endpoint, finished),
+            OwnerInput::LookupReply(endpoint, reply) => self.on_lookup_reply(now, &endpoint, reply),
+            OwnerInput::Configured(configuration) => self.set_configuration(now, configuration),
             OwnerInput::Leave => self.leaving = true,
             OwnerInput::Tick => self.tick(now),
         }
         self.dispatch(now);
         let actions = std::mem::take(&mut self.actions);
-        let mut passed = std::mem::take(&mut self.sure_actions);
-        passed.extend(self.gate.pass(now.instant, actions));
-        passed
+        let mut released = std::mem::take(&mut self.ungated_actions);
+        released.extend(self.gate.hold_unconfirmed(now.instant, actions));
+        released
     }
 
-    /// Returns what the machine was made for.
+    /// Returns the ownership that this machine serves.
     #[must_use]
     pub fn conf(&self) -> &OwnerConf {
         &self.conf
     }
 
-    /// Whether work may start.
+    /// Whether the takeover is complete, so that tasks may start.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         self.takeover.is_serving()
     }
 
-    /// Whether a job waits, runs or is being recovered.
+    /// Whether a job waits, runs or is being recovered, or a request or reply is held.
     #[must_use]
     pub fn has_open_jobs(&self) -> bool {
         !self.recoveries.is_empty()
@@ -122,13 +122,13 @@
             || self.jobs.values().any(|job| job.answer.is_none())
     }
 
-    /// Returns the choice of what runs next, to be looked at.
+    /// Returns the policy that chooses the next task, for inspection.
     #[must_use]
     pub fn policy(&self) -> &dyn Policy {
         &*self.policy
     }
 
-    /// Returns how many jobs are recorded.
+    /// Returns the number of recorded jobs.
     #[must_use]
     pub fn recorded_jobs(&self) -> usize {
         self.jobs.len()
@@ -150,7 +150,7 @@
         }
     }
 
-    fn configured(&mut self, now: Now, configuration: Rc<Configuration>) {
+    fn set_configuration(&mut self, now: Now, configuration: Rc<Configuration>) {
         if configuration.revision < self.configuration.revision {
             return;
         }
@@ -169,10 +169,10 @@
         while let Some((waiting, endpoint)) = self.policy.next(now, &self.slots) {
             if waiting.deadline <= now.wall {
                 self.policy.release(now, &waiting.task, SlotUse::Unknown);
-                self.end_late(now, &waiting.task);
+                self.end_past_deadline(now, &waiting.task);
                 continue;
             }
-            let Some(start) = self.begin(&waiting.task, &endpoint) else {
+            let Some(start) = self.prepare_start(&waiting.task, &endpoint) else {
                 self.policy.release(now, &waiting.task, SlotUse::Unknown);
                 continue;
             };
@@ -181,7 +181,7 @@
         }
     }
 
-    fn begin(&mut self, task: &TaskRef, endpoint: &EndpointId) -> Option<Start> {
+    fn prepare_start(&mut self, task: &TaskRef, endpoint: &EndpointId) -> Option<Start> {
         let job = self.jobs.get_mut(&task.job())?;
         let spec = job.spec.as_ref()?;
         let state = self.endpoints.get_mut(endpoint)?;
@@ -204,10 +204,10 @@
         if self.takeover.advance(now.instant) {
             self.release_held(now);
         }
-        self.lose_agents(now);
-        self.end_recoveries(now);
+        self.give_up_lost_agents(now);
+        self.end_finished_recoveries(now);
         for waiting in self.policy.expire(now) {
-            self.end_late(now, &waiting.task);
+            self.end_past_deadline(now, &waiting.task);
         }
         for (endpoint, state) in &self.endpoints {
             self.slots.set(endpoint, state.slots(now.instant));
@@ -216,11 +216,11 @@
     }
 
     fn forget_jobs(&mut self, now: Now) {
-        while let Some((at, _)) = self.forget.front() {
+        while let Some((at, _)) = self.forget_queue.front() {
             if *at > now.instant {
                 return;
             }
-            let Some((_, job)) = self.forget.pop_front() else {
+            let Some((_, job)) = self.forget_queue.pop_front() else {
                 return;
             };
             self.forget_job(now, job);
@@ -232,10 +232,10 @@
             return;
         };
         if state.answer.is_none() || state.forget_at > now.instant {
-            let again = state
+            let next_check = state
                 .forget_at
                 .max(now.instant + crate::timing::RECORD_WINDOW);
-            self.forget.push_back((again, job));
+            self.forget_queue.push_back((next_check, job));
         } else {
             self.jobs.swap_remove(&job);
         }
--- a/crates/decisions/src/owner/recovery.rs
+++ b/crates/decisions/src/owner/recovery.rs
@@ -1,4 +1,4 @@
-//! Records of one job, read back from agents after a change of owner.
+//! Records of one job, read from agents after a change of owner.
 
 use {
     crate::owner::{AgentRun, HeldRequest, Request},
@@ -9,58 +9,58 @@
     indexmap::IndexSet,
 };
 
-/// A submission that waits for the records of its earlier tries.
+/// A job whose records of earlier ownerships are being read from agents.
 #[derive(Debug)]
 pub struct Recovery {
-    /// The submission; none where only the answer was asked for.
+    /// The submission; none if only the answer was requested.
     pub submit: Option<Submit>,
     /// Entries that wait for the answer.
-    pub askers: IndexSet<EntryId>,
-    /// Requests that came meanwhile.
+    pub waiting_entries: IndexSet<EntryId>,
+    /// Requests that arrived during the recovery.
     pub held: Vec<HeldRequest>,
-    /// Runs of agents that have not answered.
-    pub waits_for: IndexSet<AgentRun>,
-    /// Records that were read, with their endpoints.
+    /// Runs of agents whose records are still to be read.
+    pub unread_runs: IndexSet<AgentRun>,
+    /// Records that were read, with the endpoint of each.
     pub records: Vec<(EndpointId, TaskRecord)>,
-    /// Whether records may exist that were not read.
+    /// Whether there may be records that could not be read.
     pub incomplete: bool,
 }
 
 impl Recovery {
-    /// Creates a recovery that waits for runs of agents.
+    /// Creates a recovery that waits for the records of `runs`.
     #[must_use]
     pub fn new(submit: Option<Submit>, runs: IndexSet<AgentRun>) -> Self {
         Self {
             submit,
-            askers: IndexSet::new(),
+            waiting_entries: IndexSet::new(),
             held: Vec::new(),
-            waits_for: runs,
+            unread_runs: runs,
             records: Vec::new(),
             incomplete: false,
         }
     }
 
-    /// Keeps a request until the records are read.
+    /// Holds a request until the records are read.
     pub fn hold(&mut self, from: EntryId, request: Request) {
         self.held.push(HeldRequest { from, request });
     }
 
-    /// Whether it waits for a run of an agent.
+    /// Whether the records of this run are still to be read.
     #[must_use]
     pub fn waits_for(&self, endpoint: &EndpointId, run: Incarnation) -> bool {
-        self.waits_for.contains(&(endpoint.clone(), run))
+        self.unread_runs.contains(&(endpoint.clone(), run))
     }
 
-    /// Takes an agent's records.
-    pub fn read(&mut self, run: &AgentRun, records: Vec<TaskRecord>) {
-        if self.waits_for.shift_remove(run) {
+    /// Adds the records of a run.
+    pub fn add_records(&mut self, run: &AgentRun, records: Vec<TaskRecord>) {
+        if self.unread_runs.shift_remove(run) {
             let read = records.into_iter().map(|r| (run.0.clone(), r));
             self.records.extend(read);
         }
     }
 
-    /// Notes that a task ended after its record was read.
-    pub fn end(&mut self, finished: &Finished) {
+    /// Records that a task ended after its record was read.
+    pub fn end_task(&mut self, finished: &Finished) {
         for (_, record) in &mut self.records {
             if record.digest == finished.digest {
                 end_record(record, &finished.task, &finished.outcome);
@@ -68,30 +68,30 @@
         }
     }
 
-    /// Notes that nobody will tell how a recorded run ended.
-    pub fn lose_task(&mut self, task: &TaskRef) {
+    /// Ends a running task with an unknown outcome, because its agent is lost.
+    pub fn end_as_unknown(&mut self, task: &TaskRef) {
         for (_, record) in &mut self.records {
             end_record(record, task, &TaskOutcome::OutcomeUnknown);
         }
     }
 
-    /// Notes that a recorded start proved not to have happened.
-    pub fn undo(&mut self, task: &TaskRef) {
+    /// Removes the record of a start that proved not to have happened.
+    pub fn remove_start(&mut self, task: &TaskRef) {
         self.records
             .retain(|(_, r)| r.task != *task || r.state != RecordState::Running);
     }
 
-    /// Gives up the records of a run that nobody can ask.
-    pub fn lose(&mut self, run: &AgentRun) {
-        if self.waits_for.shift_remove(run) {
+    /// Gives up the records of a lost run, which leaves the recovery incomplete.
+    pub fn give_up_run(&mut self, run: &AgentRun) {
+        if self.unread_runs.shift_remove(run) {
             self.incomplete = true;
         }
     }
 
-    /// Whether every run answered or was given up.
+    /// Whether the records of every run were read or given up.
     #[must_use]
-    pub fn is_over(&self) -> bool {
-        self.waits_for.is_empty()
+    pub fn is_finished(&self) -> bool {
+        self.unread_runs.is_empty()
     }
 }
 
--- a/crates/decisions/src/owner/reply_gate.rs
+++ b/crates/decisions/src/owner/reply_gate.rs
@@ -1,4 +1,4 @@
-//! Replies that hold only while the ownership does.
+//! Replies that are true only while the ownership is in force.
 
 use {
     crate::owner::OwnerAction,
@@ -6,38 +6,39 @@
     std::{collections::VecDeque, time::Instant},
 };
 
-/// Keeps replies that say "not run" until the ownership is confirmed.
+/// Holds replies that claim "not run" until the ownership is confirmed.
 ///
-/// An owner that was deposed and does not know it cannot tell what its
-/// successor started.
+/// An owner that was deposed without knowing it can't rule out that its
+/// successor started the task.
 #[derive(Debug, Default)]
 pub struct ReplyGate {
     held: VecDeque<(Instant, EntryId, JobReply)>,
 }
 
 impl ReplyGate {
-    /// Holds back what needs a confirmation later than `at`; returns the rest.
-    pub fn pass(&mut self, at: Instant, actions: Vec<OwnerAction>) -> Vec<OwnerAction> {
-        let mut passed = Vec::with_capacity(actions.len());
+    /// Holds the replies that need a confirmation of `at` or later; returns the
+    /// other actions.
+    pub fn hold_unconfirmed(&mut self, at: Instant, actions: Vec<OwnerAction>) -> Vec<OwnerAction> {
+        let mut other_actions = Vec::with_capacity(actions.len());
         for action in actions {
             match action {
                 OwnerAction::Reply(to, reply) if reply.reply.claims_not_run() => {
                     self.held.push_back((at, to, reply));
                 }
-                action => passed.push(action),
+                action => other_actions.push(action),
             }
         }
-        passed
+        other_actions
     }
 
-    /// Releases what was held at or before `confirmed_at`.
+    /// Removes and returns the replies held at or before `confirmed_at`.
     pub fn release(&mut self, confirmed_at: Instant) -> Vec<(EntryId, JobReply)> {
         let count = self.held.partition_point(|held| held.0 <= confirmed_at);
         let released = self.held.drain(..count);
         released.map(|(_, to, reply)| (to, reply)).collect()
     }
 
-    /// Whether nothing is held.
+    /// Whether no reply is held.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
--- a/crates/decisions/src/owner/request.rs
+++ b/crates/decisions/src/owner/request.rs
@@ -1,4 +1,4 @@
-//! What entries ask of an owner.
+//! Requests of entries to an owner.
 
 use chestnutrun_types::{BodyDigest, EntryId, JobRef, Submit};
 
@@ -7,14 +7,14 @@
 pub enum Request {
     /// Run a job.
     Submit(Submit),
-    /// Tell a job's answer.
+    /// Return the answer of a job.
     Ask(JobRef),
-    /// Cancel what has not started.
+    /// Cancel the tasks of a job that have not started.
     Cancel(JobRef),
 }
 
 impl Request {
-    /// Returns the job that it is about.
+    /// Returns the job that the request concerns.
     #[must_use]
     pub fn job(&self) -> &JobRef {
         match self {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Returns the digest of a submission.
+    /// Returns the digest of a submission's body; none for other requests.
     #[must_use]
     pub fn digest(&self) -> Option<BodyDigest> {
         match self {
@@ -36,8 +36,8 @@
 /// A request that waits until it can be decided.
 #[derive(Clone, Debug)]
 pub struct HeldRequest {
-    /// The entry that asks.
+    /// The entry that sent the request.
     pub from: EntryId,
-    /// What it asks.
+    /// The request itself.
     pub request: Request,
 }
--- a/crates/decisions/src/owner/requests.rs
+++ b/crates/decisions/src/owner/requests.rs
@@ -1,9 +1,9 @@
-//! Requests of entries: submissions, questions and cancellations.
+//! Handles requests of entries: submissions, queries and cancellations.
 
 use {
     crate::owner::{
         HeldRequest, OwnerAction, OwnerMachine, Recovery, Request,
-        admission::{RETRY_AFTER, new_job},
+        admission::{MIN_RETRY_AFTER, new_job},
     },
     chestnutrun_types::{
         BodyDigest, EntryId, JobRef, JobReply, Now, Refusal, RefusalReason, Reply, Submit,
@@ -12,26 +12,26 @@
     std::time::{Instant, SystemTime},
 };
 
-/// Most requests that wait for the end of a change of owner.
-const MAX_HELD: usize = 10_000;
+/// Most requests that are held during a change of owner.
+const MAX_HELD_REQUESTS: usize = 10_000;
 
 impl OwnerMachine {
-    /// Takes a request; holds it until the change of owner is over.
-    pub(super) fn request(&mut self, now: Now, from: EntryId, request: Request) {
+    /// Handles a request, or holds it until the change of owner is complete.
+    pub(super) fn on_request(&mut self, now: Now, from: EntryId, request: Request) {
         if !self.takeover.is_serving() {
             self.hold(now, HeldRequest { from, request });
             return;
         }
         match request {
             Request::Submit(submit) => self.submit(now, from, submit),
-            Request::Ask(job) => self.ask(from, job),
+            Request::Ask(job) => self.query(from, job),
             Request::Cancel(job) => self.cancel(now, from, job),
         }
     }
 
     pub(super) fn release_held(&mut self, now: Now) {
         for held in std::mem::take(&mut self.held) {
-            self.request(now, held.from, held.request);
+            self.on_request(now, held.from, held.request);
         }
     }
 
@@ -39,16 +39,17 @@
         self.actions.push(OwnerAction::Reply(to.clone(), reply));
     }
 
-    /// Sends what waited for a confirmation of the ownership.
+    /// Sends the replies that needed a confirmation of the ownership at `at`.
     pub(super) fn release_replies(&mut self, at: Instant) {
         for (to, reply) in self.gate.release(at) {
-            let reply = self.still_true(reply);
-            self.sure_actions.push(OwnerAction::Reply(to, reply));
+            let reply = self.without_outdated_refusal(reply);
+            self.ungated_actions.push(OwnerAction::Reply(to, reply));
         }
     }
 
-    /// Claims nothing for a refused key that was accepted meanwhile.
-    fn still_true(&self, mut reply: JobReply) -> JobReply {
+    /// Replaces a refusal by `Unavailable` if the same key has been accepted since
+    /// the refusal was held.
+    fn without_outdated_refusal(&self, mut reply: JobReply) -> JobReply {
         let is_known = self.jobs.contains_key(&reply.job);
         if let Reply::Refused(refusal) = &reply.reply
             && is_known
@@ -59,37 +60,37 @@
     }
 
     fn submit(&mut self, now: Now, from: EntryId, submit: Submit) {
-        if self.join(&from, &submit) || self.recover(&from, &submit) {
+        if self.attach(&from, &submit) || self.recover(&from, &submit) {
             return;
         }
-        if submit.may_be_older && !self.takeover.knows_all() {
-            self.admit_unproved(now, from, submit);
+        if submit.may_be_older && !self.takeover.has_all_records() {
+            self.admit_as_unknown(now, from, submit);
             return;
         }
-        match self.admission(now, &submit) {
+        match self.check_admission(now, &submit) {
             Ok(()) => self.admit(now, &from, submit),
             Err(refusal) => self.refuse(from, &submit, refusal),
         }
     }
 
     fn refuse(&mut self, from: EntryId, submit: &Submit, refusal: Refusal) {
-        let reply = self.reply_to(submit, Reply::Refused(refusal));
+        let reply = self.submission_reply(submit, Reply::Refused(refusal));
         let action = OwnerAction::Reply(from, reply);
         if submit.may_be_older {
             self.actions.push(action);
         } else {
-            self.sure_actions.push(action);
+            self.ungated_actions.push(action);
         }
     }
 
-    fn ask(&mut self, from: EntryId, job: JobRef) {
+    fn query(&mut self, from: EntryId, job: JobRef) {
         if let Some(state) = self.jobs.get_mut(&job) {
             let is_open = state.answer.is_none();
-            state.askers.insert(from.clone());
+            state.waiting_entries.insert(from.clone());
             self.answer_if_ended(&job);
             if is_open {
                 let (digest, reply) = (None, Reply::Accepted);
-                self.reply(&from, self.reply_about(job, digest, reply));
+                self.reply(&from, self.job_reply(job, digest, reply));
             }
             return;
         }
@@ -97,29 +98,29 @@
             recovery.hold(from, Request::Ask(job));
             return;
         }
-        if let Some(traced) = self.takeover.traced(job.key_hash()).cloned() {
-            self.begin_recovery(from, job, Recovery::new(None, traced));
+        if let Some(runs) = self.takeover.runs_with_records(job.key_hash()).cloned() {
+            self.begin_recovery(from, job, Recovery::new(None, runs));
             return;
         }
-        let reply = if self.takeover.knows_all() {
+        let reply = if self.takeover.has_all_records() {
             Reply::NotFound
         } else {
             unavailable(None)
         };
         let digest = None;
-        self.reply(&from, self.reply_about(job, digest, reply));
+        self.reply(&from, self.job_reply(job, digest, reply));
     }
 
     fn cancel(&mut self, now: Now, from: EntryId, job: JobRef) {
         let Some(state) = self.jobs.get_mut(&job) else {
             match self.recoveries.get_mut(&job) {
                 Some(recovery) => recovery.hold(from, Request::Cancel(job)),
-                None => self.ask(from, job),
+                None => self.query(from, job),
             }
             return;
         };
-        state.askers.insert(from);
-        let waiting: Vec<TaskRef> = state.waiting().collect();
+        state.waiting_entries.insert(from);
+        let waiting: Vec<TaskRef> = state.waiting_tasks().collect();
         for task in waiting {
             self.policy.remove(&task);
             self.end_task(now, &task, TaskOutcome::Cancelled);
@@ -127,16 +128,17 @@
         self.answer_if_ended(&job);
     }
 
-    /// Adds an asker to a job that is known already.
-    fn join(&mut self, from: &EntryId, submit: &Submit) -> bool {
+    /// Attaches a submission to a known or recovering job of the same key;
+    /// returns whether there is one.
+    fn attach(&mut self, from: &EntryId, submit: &Submit) -> bool {
         if let Some(state) = self.jobs.get_mut(&submit.job) {
             if state.digest != submit.digest {
-                self.reply(from, self.reply_to(submit, Reply::KeyReused));
+                self.reply(from, self.submission_reply(submit, Reply::KeyReused));
                 return true;
             }
-            state.askers.insert(from.clone());
+            state.waiting_entries.insert(from.clone());
             if submit.wants_receipt && state.answer.is_none() {
-                self.reply(from, self.reply_to(submit, Reply::Accepted));
+                self.reply(from, self.submission_reply(submit, Reply::Accepted));
             }
             self.answer_if_ended(&submit.job);
             return true;
@@ -148,33 +150,38 @@
         true
     }
 
+    /// Starts the recovery of a job if agents hold records of it.
     fn recover(&mut self, from: &EntryId, submit: &Submit) -> bool {
-        let Some(traced) = self.takeover.traced(submit.job.key_hash()).cloned() else {
+        let Some(runs) = self
+            .takeover
+            .runs_with_records(submit.job.key_hash())
+            .cloned()
+        else {
             return false;
         };
-        let recovery = Recovery::new(Some(submit.clone()), traced);
+        let recovery = Recovery::new(Some(submit.clone()), runs);
         self.begin_recovery(from.clone(), submit.job.clone(), recovery);
         true
     }
 
     fn hold(&mut self, now: Now, held: HeldRequest) {
-        if self.held.len() < MAX_HELD {
+        if self.held.len() < MAX_HELD_REQUESTS {
             self.held.push(held);
             return;
         }
-        let reply = unavailable(Some(now.wall + RETRY_AFTER));
+        let reply = unavailable(Some(now.wall + MIN_RETRY_AFTER));
         let job = held.request.job().clone();
         let digest = held.request.digest();
-        self.reply(&held.from, self.reply_about(job, digest, reply));
+        self.reply(&held.from, self.job_reply(job, digest, reply));
     }
 
-    /// Makes the reply to a submission.
-    pub(super) fn reply_to(&self, submit: &Submit, reply: Reply) -> JobReply {
-        self.reply_about(submit.job.clone(), Some(submit.digest), reply)
+    /// Creates the reply to a submission.
+    pub(super) fn submission_reply(&self, submit: &Submit, reply: Reply) -> JobReply {
+        self.job_reply(submit.job.clone(), Some(submit.digest), reply)
     }
 
-    /// Makes a reply under this ownership.
-    pub(super) fn reply_about(
+    /// Creates a reply that carries the epoch of this ownership.
+    pub(super) fn job_reply(
         &self,
         job: JobRef,
         digest: Option<BodyDigest>,
@@ -188,18 +195,19 @@
         }
     }
 
-    /// Answers for a key that may have started where nobody can be asked.
-    fn admit_unproved(&mut self, now: Now, from: EntryId, submit: Submit) {
+    /// Answers a submission with unknown outcomes: the job may have started
+    /// earlier, and its records cannot be read.
+    fn admit_as_unknown(&mut self, now: Now, from: EntryId, submit: Submit) {
         let mut state = new_job(now, submit);
-        state.askers.insert(from);
+        state.waiting_entries.insert(from);
         let job = state.job.clone();
         self.insert_job(state);
-        self.give_up_waiting(now, &job);
+        self.end_waiting_as_unknown(now, &job);
         self.answer_if_ended(&job);
     }
 }
 
-/// Returns the reply that claims nothing.
+/// Returns the reply that makes no claim about a job.
 pub(super) fn unavailable(retry_at: Option<SystemTime>) -> Reply {
     Reply::Unavailable(Refusal {
         reason: RefusalReason::TakingOver,
--- a/crates/decisions/src/owner/takeover.rs
+++ b/crates/decisions/src/owner/takeover.rs
@@ -1,4 +1,4 @@
-//! What must be known before a new owner may start work.
+//! Conditions under which a new owner may start tasks.
 
 use {
     crate::timing::{CLOCK_DRIFT_MARGIN, LEASE, RECORD_WINDOW},
@@ -12,108 +12,109 @@
 
 /// Progress of a change of owner.
 ///
-/// Every run of an agent that may hold records of an earlier ownership is
-/// either fenced, or its lease is waited out and its records count as unread.
+/// Tasks may start once every run of an agent that may hold records of an earlier
+/// ownership is fenced, or else once the lease of that ownership has expired. In
+/// the second case, the records of the other runs count as unread.
 #[derive(Debug)]
 pub struct Takeover {
-    unread: IndexMap<AgentRun, Instant>,
-    read: IndexSet<AgentRun>,
+    unread_runs: IndexMap<AgentRun, Instant>,
+    read_runs: IndexSet<AgentRun>,
     written_at: Instant,
     acknowledged_at: Option<Instant>,
-    blind_until: Option<Instant>,
-    traces: IndexMap<KeyHash, IndexSet<AgentRun>>,
+    unknown_agents_until: Option<Instant>,
+    runs_by_job: IndexMap<KeyHash, IndexSet<AgentRun>>,
     serving: bool,
 }
 
 impl Takeover {
     /// Starts a change of owner that the table accepted before `written_at`.
     ///
-    /// `known` are the agents that may hold records; where it is not complete,
-    /// there may be others that nobody named.
+    /// `known` lists the agents that may hold records. If the list is not
+    /// complete, unknown agents may hold records too.
     #[must_use]
     pub fn new(written_at: Instant, known: KnownAgents) -> Self {
         let forget_at = written_at + RECORD_WINDOW;
         let mut takeover = Self {
-            unread: IndexMap::new(),
-            read: IndexSet::new(),
+            unread_runs: IndexMap::new(),
+            read_runs: IndexSet::new(),
             written_at,
             acknowledged_at: None,
-            blind_until: (!known.complete).then_some(forget_at),
-            traces: IndexMap::new(),
+            unknown_agents_until: (!known.complete).then_some(forget_at),
+            runs_by_job: IndexMap::new(),
             serving: false,
         };
-        takeover.learn(known);
+        takeover.add_agents(known);
         takeover
     }
 
-    /// Takes what another entry knows of the agents.
-    pub fn learn(&mut self, known: KnownAgents) {
+    /// Adds the agents that another entry knows.
+    pub fn add_agents(&mut self, known: KnownAgents) {
         if known.complete {
-            self.blind_until = None;
+            self.unknown_agents_until = None;
         }
         let forget_at = self.written_at + RECORD_WINDOW;
         for known in known.runs {
             let run = (known.endpoint, known.incarnation);
             match known.records {
-                RunRecords::Departed(jobs) => self.read(&run, jobs),
-                RunRecords::AtAgent if self.read.contains(&run) => {}
+                RunRecords::Departed(jobs) => self.add_job_list(&run, jobs),
+                RunRecords::AtAgent if self.read_runs.contains(&run) => {}
                 RunRecords::AtAgent => {
-                    self.unread.entry(run).or_insert(forget_at);
+                    self.unread_runs.entry(run).or_insert(forget_at);
                 }
             }
         }
     }
 
-    /// Notes that nobody vouches for an earlier ownership from `at` on.
+    /// Records that from `at` on, no voter votes for an earlier ownership.
     pub fn acknowledge(&mut self, at: Instant) {
         self.acknowledged_at.get_or_insert(at);
     }
 
-    /// Whether work may start.
+    /// Whether tasks may start.
     #[must_use]
     pub fn is_serving(&self) -> bool {
         self.serving
     }
 
-    /// Returns the moment at which the earlier owner's lease is surely over,
-    /// once that is known.
+    /// Returns the moment by which the earlier owner's lease has surely expired;
+    /// none until enough voters have acknowledged the new ownership.
     #[must_use]
-    pub fn lease_over_at(&self) -> Option<Instant> {
+    pub fn earlier_lease_ends_at(&self) -> Option<Instant> {
         self.acknowledged_at
             .map(|at| at + LEASE + CLOCK_DRIFT_MARGIN)
     }
 
     /// Whether every record of earlier ownerships was read.
     #[must_use]
-    pub fn knows_all(&self) -> bool {
-        self.unread.is_empty() && self.blind_until.is_none()
+    pub fn has_all_records(&self) -> bool {
+        self.unread_runs.is_empty() && self.unknown_agents_until.is_none()
     }
 
-    /// Takes an agent's list of jobs.
-    pub fn read(&mut self, run: &AgentRun, jobs: impl IntoIterator<Item = KeyHash>) {
-        self.unread.shift_remove(run);
-        self.read.insert(run.clone());
+    /// Records the list of jobs of which a run holds records.
+    pub fn add_job_list(&mut self, run: &AgentRun, jobs: impl IntoIterator<Item = KeyHash>) {
+        self.unread_runs.shift_remove(run);
+        self.read_runs.insert(run.clone());
         for job in jobs {
-            self.traces.entry(job).or_default().insert(run.clone());
+            self.runs_by_job.entry(job).or_default().insert(run.clone());
         }
     }
 
-    /// Returns the runs of agents that hold records of a job.
+    /// Returns the runs of agents that may hold records of a job.
     #[must_use]
-    pub fn traced(&self, job: KeyHash) -> Option<&IndexSet<AgentRun>> {
-        self.traces.get(&job)
+    pub fn runs_with_records(&self, job: KeyHash) -> Option<&IndexSet<AgentRun>> {
+        self.runs_by_job.get(&job)
     }
 
-    /// Forgets where a job's records are, after they were read.
-    pub fn resolve(&mut self, job: KeyHash) {
-        self.traces.swap_remove(&job);
+    /// Forgets which runs may hold records of a job, after they were read.
+    pub fn forget_runs(&mut self, job: KeyHash) {
+        self.runs_by_job.swap_remove(&job);
     }
 
-    /// Decides whether work may start; returns whether that changed.
+    /// Updates whether tasks may start; returns true when they first may.
     pub fn advance(&mut self, at: Instant) -> bool {
-        self.unread.retain(|_, forget_at| *forget_at > at);
-        if self.blind_until.is_some_and(|until| until <= at) {
-            self.blind_until = None;
+        self.unread_runs.retain(|_, forget_at| *forget_at > at);
+        if self.unknown_agents_until.is_some_and(|until| until <= at) {
+            self.unknown_agents_until = None;
         }
         let changed = self.is_ready(at) && !self.serving;
         self.serving |= changed;
@@ -121,9 +122,9 @@
     }
 
     fn is_ready(&self, at: Instant) -> bool {
-        // Without the acknowledgements, others may vouch for the earlier owner
-        // to an agent that starts later and knows no ownership.
-        let lease_over_at = self.lease_over_at();
-        lease_over_at.is_some_and(|over_at| self.knows_all() || at >= over_at)
+        // Before the acknowledgements, voters may still vote for the earlier owner,
+        // and an agent that starts late and knows no ownership would accept it.
+        let lease_ends_at = self.earlier_lease_ends_at();
+        lease_ends_at.is_some_and(|ends_at| self.has_all_records() || at >= ends_at)
     }
 }
