--- a/crates/decisions/src/front/front_machine.rs
+++ b/crates/decisions/src/front/front_machine.rs
@@ -1,12 +1,12 @@
-//! The machine that serves callers at one entry.
+//! State machine that serves the callers of one entry.
 
 use {
-    crate::front::{FrontAction, FrontInput, Pending, PendingKey, Request, WaiterId, Want},
+    crate::front::{FrontAction, FrontInput, Pending, PendingKey, ReplyKind, Request, WaiterId},
     chestnutrun_types::{EntryId, JobReply, Reply, ShardId, ShardOwner},
     indexmap::{IndexMap, IndexSet},
 };
 
-/// What the machine is made for.
+/// Identity of the entry that the machine serves, and the number of shards.
 #[derive(Clone, Debug)]
 pub struct FrontConf {
     /// This entry.
@@ -15,19 +15,19 @@
     pub shards: ShardId,
 }
 
-/// Passes requests to owners and replies to callers.
+/// Forwards requests of callers to the owners of shards, and replies to callers.
 #[derive(Debug)]
 pub struct FrontMachine {
     conf: FrontConf,
     owners: IndexMap<ShardId, ShardOwner>,
     links: IndexSet<EntryId>,
     pending: IndexMap<PendingKey, Pending>,
-    waits_on: IndexMap<WaiterId, PendingKey>,
+    keys_by_waiter: IndexMap<WaiterId, PendingKey>,
     actions: Vec<FrontAction>,
 }
 
 impl FrontMachine {
-    /// Creates a machine that knows no owner.
+    /// Creates a machine that knows no owners yet.
     #[must_use]
     pub fn new(conf: FrontConf) -> Self {
         Self {
@@ -35,18 +35,18 @@
             owners: IndexMap::new(),
             links: IndexSet::new(),
             pending: IndexMap::new(),
-            waits_on: IndexMap::new(),
+            keys_by_waiter: IndexMap::new(),
             actions: Vec::new(),
         }
     }
 
-    /// Takes one input.
+    /// Processes one input and returns the resulting actions.
     pub fn handle(&mut self, input: FrontInput) -> Vec<FrontAction> {
         match input {
             FrontInput::Request(waiter, request) => self.request(waiter, request),
             FrontInput::Abandon(waiter) => self.abandon(waiter),
             FrontInput::Reply(reply) => self.reply(&reply),
-            FrontInput::Owner(owner) => self.owner(owner),
+            FrontInput::Owner(owner) => self.set_owner(owner),
             FrontInput::OwnerReady(shard) => self.resend(|of_shard| of_shard == shard),
             FrontInput::LinkUp(entry) => self.link_up(&entry),
             FrontInput::LinkDown(entry) => {
@@ -56,13 +56,13 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns how many jobs wait for a reply.
+    /// Returns the number of pending requests; those that share a reply count once.
     #[must_use]
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether someone waits for this reply; one that comes again finds nobody.
+    /// Whether a caller waits for this reply. No caller waits for a duplicate.
     #[must_use]
     pub fn waits_for(&self, reply: &JobReply) -> bool {
         let has_waiters = |digest| {
@@ -76,7 +76,7 @@
         has_waiters(reply.digest) || has_waiters(None)
     }
 
-    /// Returns the owner of each shard, as far as known.
+    /// Returns the known owners of shards.
     pub fn owners(&self) -> impl Iterator<Item = &ShardOwner> {
         self.owners.values()
     }
@@ -84,12 +84,12 @@
     fn request(&mut self, waiter: WaiterId, request: Request) {
         let key = PendingKey::of(&request);
         let pending = self.pending.entry(key.clone()).or_default();
-        pending.waiters.insert(waiter, Want::of(&request));
-        self.waits_on.insert(waiter, key.clone());
+        pending.waiters.insert(waiter, ReplyKind::of(&request));
+        self.keys_by_waiter.insert(waiter, key.clone());
         if let Request::Submit(submit) = &request {
             if pending.submit.is_some() {
-                // One submission of a body is out at a time: a refusal of one
-                // must not reach the callers of another that runs.
+                // Only one submission of a body is sent at a time: the refusal of a
+                // second one would also reach the callers of the first, which may run.
                 return;
             }
             pending.submit = Some(submit.clone());
@@ -98,7 +98,7 @@
     }
 
     fn abandon(&mut self, waiter: WaiterId) {
-        let Some(key) = self.waits_on.swap_remove(&waiter) else {
+        let Some(key) = self.keys_by_waiter.swap_remove(&waiter) else {
             return;
         };
         let Some(pending) = self.pending.get_mut(&key) else {
@@ -117,21 +117,21 @@
             digest: reply.digest,
         };
         if is_answer && key.digest.is_some() {
-            let asked = PendingKey {
+            let query_key = PendingKey {
                 digest: None,
                 ..key.clone()
             };
-            self.end(&asked, reply);
+            self.complete(&query_key, reply);
         }
         if matches!(reply.reply, Reply::Accepted) {
-            self.accept(&key, &reply.reply);
+            self.answer_receipts(&key, &reply.reply);
         } else {
-            self.end(&key, reply);
+            self.complete(&key, reply);
         }
     }
 
-    /// Answers who wants to hear that the job goes on.
-    fn accept(&mut self, key: &PendingKey, reply: &Reply) {
+    /// Answers the callers that wait only for the receipt of a job.
+    fn answer_receipts(&mut self, key: &PendingKey, reply: &Reply) {
         let Some(pending) = self.pending.get_mut(key) else {
             return;
         };
@@ -142,15 +142,15 @@
         self.answer(waiters, reply);
     }
 
-    /// Answers every waiter with the owner's final reply.
+    /// Answers every caller that waits under a key with the owner's final reply.
     ///
-    /// A later owner that got the request may run what an earlier one says did
-    /// not run; its own reply is waited for.
-    fn end(&mut self, key: &PendingKey, reply: &JobReply) {
+    /// A claim "not run" of an earlier owner is ignored if a later one was sent the
+    /// request: the later owner may run the job, and its reply follows.
+    fn complete(&mut self, key: &PendingKey, reply: &JobReply) {
         let Some(pending) = self.pending.get_mut(key) else {
             return;
         };
-        let is_outdated = pending.sent_under > Some(reply.epoch);
+        let is_outdated = pending.sent_epoch > Some(reply.epoch);
         if is_outdated && reply.reply.claims_not_run() {
             return;
         }
@@ -161,13 +161,13 @@
 
     fn answer(&mut self, waiters: Vec<WaiterId>, reply: &Reply) {
         for waiter in waiters {
-            self.waits_on.swap_remove(&waiter);
+            self.keys_by_waiter.swap_remove(&waiter);
             self.actions
                 .push(FrontAction::Answer(waiter, reply.clone()));
         }
     }
 
-    fn owner(&mut self, owner: ShardOwner) {
+    fn set_owner(&mut self, owner: ShardOwner) {
         let known = self.owners.get(&owner.shard);
         if known.is_some_and(|known| known.epoch >= owner.epoch) {
             return;
@@ -188,8 +188,8 @@
         self.resend(|shard| owned.contains(&shard));
     }
 
-    /// Sends again what waits for a reply from the chosen shards: submissions
-    /// first, so that a cancellation finds its job.
+    /// Sends the pending requests of the chosen shards again: submissions first, so
+    /// that the owner knows a job before its cancellation arrives.
     fn resend(&mut self, is_chosen: impl Fn(ShardId) -> bool) {
         let shards = self.conf.shards;
         let mut chosen: Vec<PendingKey> = self
@@ -200,17 +200,17 @@
             .collect();
         chosen.sort_by_key(|key| key.digest.is_none());
         for key in chosen {
-            for request in self.requests_again(&key) {
+            for request in self.requests_to_resend(&key) {
                 self.send(&key, request);
             }
         }
     }
 
-    fn requests_again(&mut self, key: &PendingKey) -> Vec<Request> {
+    fn requests_to_resend(&mut self, key: &PendingKey) -> Vec<Request> {
         let Some(pending) = self.pending.get_mut(key) else {
             return Vec::new();
         };
-        let was_sent = pending.sent_under.is_some();
+        let was_sent = pending.sent_epoch.is_some();
         if let Some(submit) = &mut pending.submit {
             submit.may_be_older |= was_sent;
         }
@@ -222,12 +222,12 @@
         let Some(owner) = self.owners.get(&shard) else {
             return;
         };
-        let is_me = owner.entry == self.conf.me;
-        if !is_me && !self.links.contains(&owner.entry) {
+        let is_local = owner.entry == self.conf.me;
+        if !is_local && !self.links.contains(&owner.entry) {
             return;
         }
         if let Some(pending) = self.pending.get_mut(key) {
-            pending.sent_under = Some(owner.epoch);
+            pending.sent_epoch = Some(owner.epoch);
         }
         self.actions
             .push(FrontAction::Send(owner.entry.clone(), request));
--- a/crates/decisions/src/front/messages.rs
+++ b/crates/decisions/src/front/messages.rs
@@ -1,36 +1,36 @@
-//! Inputs and actions of the machine that serves callers.
+//! Inputs and actions of the front machine.
 
 use chestnutrun_types::{EntryId, JobRef, JobReply, Reply, ShardId, ShardOwner, Submit};
 
-/// Number of a caller that waits at this entry.
+/// Identifies a caller's waiting request at this entry.
 pub type WaiterId = u64;
 
-/// What is asked of the owner of a shard.
+/// Request to the owner of a shard.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
     /// Run a job.
     Submit(Submit),
-    /// Tell a job's answer.
+    /// Return the answer of a job.
     Ask(JobRef),
-    /// Tell a job's answer, or at once that it goes on.
+    /// Return the answer of a job; while the job is open, return a receipt at once.
     State(JobRef),
-    /// Cancel what has not started.
+    /// Cancel the tasks of a job that have not started.
     Cancel(JobRef),
 }
 
-/// What the machine takes.
+/// Input of the front machine.
 #[derive(Clone, Debug)]
 pub enum FrontInput {
-    /// A caller asks for something and waits.
+    /// A caller sent a request and waits for the reply.
     Request(WaiterId, Request),
-    /// A caller went away or waited long enough.
+    /// A caller disconnected, or its longest wait is over.
     Abandon(WaiterId),
     /// The owner of a shard replied.
     Reply(JobReply),
     /// A shard has a new owner.
     Owner(ShardOwner),
-    /// The owner of a shard says that it takes requests; earlier ones may have
-    /// come before it knew of its ownership.
+    /// The owner of a shard accepts requests now. Requests that reached it before it
+    /// knew of its ownership may have been dropped.
     OwnerReady(ShardId),
     /// A link to another entry opened.
     LinkUp(EntryId),
@@ -38,10 +38,10 @@
     LinkDown(EntryId),
 }
 
-/// What the machine asks its front end to do.
+/// Action that the front machine returns for execution.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FrontAction {
-    /// Send a request to an entry, which may be this one.
+    /// Send a request to the owning entry, which may be this one.
     Send(EntryId, Request),
     /// Answer a caller.
     Answer(WaiterId, Reply),
--- a/crates/decisions/src/front/mod.rs
+++ b/crates/decisions/src/front/mod.rs
@@ -1,5 +1,5 @@
-//! Decisions of an entry on behalf of callers: which owner gets a request, and
-//! which caller gets a reply.
+//! Decisions of an entry for its callers: to which owner a request is sent, and
+//! which callers get a reply.
 
 mod front_machine;
 mod messages;
@@ -8,5 +8,5 @@
 pub use {
     front_machine::{FrontConf, FrontMachine},
     messages::{FrontAction, FrontInput, Request, WaiterId},
-    pending::{Pending, PendingKey, Want},
+    pending::{Pending, PendingKey, ReplyKind},
 };
--- a/crates/decisions/src/front/pending.rs
+++ b/crates/decisions/src/front/pending.rs
@@ -1,4 +1,4 @@
-//! Callers that wait for the reply to one job.
+//! Pending requests of callers, by job and body.
 
 use {
     crate::front::{Request, WaiterId},
@@ -6,17 +6,17 @@
     indexmap::IndexMap,
 };
 
-/// What waiting callers have in common.
+/// Identifies the pending requests that share one reply.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct PendingKey {
     /// The job.
     pub job: JobRef,
-    /// Digest of the submission; none for questions and cancellations.
+    /// Digest of the submission; none for queries and cancellations.
     pub digest: Option<BodyDigest>,
 }
 
 impl PendingKey {
-    /// Returns the key of a request.
+    /// Returns the key under which a request waits.
     #[must_use]
     pub fn of(request: &Request) -> Self {
         match request {
@@ -32,73 +32,77 @@
     }
 }
 
-/// What a waiting caller wants.
+/// Kind of reply for which a caller waits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Want {
-    /// The answer of a job that it submitted.
+pub enum ReplyKind {
+    /// The answer of a job that the caller submitted.
     Answer,
-    /// Whether the job is accepted.
+    /// The receipt: whether the job is accepted.
     Receipt,
-    /// The answer of a job that somebody submitted.
-    Known,
+    /// The answer of a job that the caller names without its submission.
+    QueriedAnswer,
     /// The answer after a cancellation.
-    Cancelled,
+    Cancellation,
 }
 
-impl Want {
-    /// Returns what the sender of a request wants.
+impl ReplyKind {
+    /// Returns the kind of reply that a request asks for.
     #[must_use]
     pub fn of(request: &Request) -> Self {
         match request {
             Request::Submit(submit) if submit.wants_receipt => Self::Receipt,
             Request::Submit(_) => Self::Answer,
             Request::State(_) => Self::Receipt,
-            Request::Ask(_) => Self::Known,
-            Request::Cancel(_) => Self::Cancelled,
+            Request::Ask(_) => Self::QueriedAnswer,
+            Request::Cancel(_) => Self::Cancellation,
         }
     }
 }
 
-/// Callers that wait for the reply to one job.
+/// Pending requests of one key, and the callers that wait for their reply.
 #[derive(Debug, Default)]
 pub struct Pending {
-    /// The submission; kept until the owner answers.
+    /// The submission, kept until the owner's final reply; none for other requests.
     pub submit: Option<Submit>,
-    /// The waiting callers.
-    pub waiters: IndexMap<WaiterId, Want>,
-    /// The ownership that got the request last.
-    pub sent_under: Option<Epoch>,
+    /// The waiting callers, with the kind of reply that each waits for.
+    pub waiters: IndexMap<WaiterId, ReplyKind>,
+    /// Epoch of the ownership to which the request was last sent; none before that.
+    pub sent_epoch: Option<Epoch>,
 }
 
 impl Pending {
-    /// Returns what must be sent to a new owner.
+    /// Returns the requests that must be sent to a new owner.
     #[must_use]
     pub fn requests(&self, job: &JobRef) -> Vec<Request> {
         if let Some(submit) = &self.submit {
             return vec![Request::Submit(submit.clone())];
         }
         let mut requests = vec![Request::Ask(job.clone())];
-        if self.waiters.values().any(|want| *want == Want::Cancelled) {
+        if self
+            .waiters
+            .values()
+            .any(|kind| *kind == ReplyKind::Cancellation)
+        {
             requests.push(Request::Cancel(job.clone()));
         }
         requests
     }
 
-    /// Takes the waiters that want a receipt.
+    /// Removes and returns the callers that wait for a receipt.
     pub fn take_receipts(&mut self) -> Vec<WaiterId> {
-        let wants_receipt = |want: &Want| *want == Want::Receipt;
+        let wants_receipt = |kind: &ReplyKind| *kind == ReplyKind::Receipt;
         self.take(wants_receipt)
     }
 
-    /// Takes every waiter.
+    /// Removes and returns every waiting caller.
     pub fn take_all(&mut self) -> Vec<WaiterId> {
         self.take(|_| true)
     }
 
-    fn take(&mut self, is_taken: impl Fn(&Want) -> bool) -> Vec<WaiterId> {
+    fn take(&mut self, is_taken: impl Fn(&ReplyKind) -> bool) -> Vec<WaiterId> {
         let (taken, rest) = std::mem::take(&mut self.waiters)
             .into_iter()
-            .partition(|(_, want)| is_taken(want));
+            .partition(|(_, kind)| is_taken(kind));
         self.waiters = rest;
         IndexMap::into_keys(taken).collect()
     }
