--- a/crates/decisions/tests/fake_site/agent.rs
+++ b/crates/decisions/tests/fake_site/agent.rs
@@ -1,4 +1,4 @@
-//! One agent: its machine and the links it has, as its daemon keeps them.
+//! A simulated agent: its machine, and the links that its daemon would keep.
 
 use {
     super::links::FakeLinkId,
@@ -11,19 +11,19 @@
 /// Slots of each endpoint.
 const SLOTS: u32 = 3;
 
-/// One agent.
+/// An agent of the simulated site.
 #[derive(Debug)]
 pub struct FakeAgent {
-    /// Its announcement.
+    /// The announcement that the agent sends on each new link.
     pub hello: AgentHello,
-    /// Its machine.
+    /// The machine under test.
     pub machine: AgentMachine,
-    names: IndexMap<FakeLinkId, EntryId>,
-    by_entry: IndexMap<EntryId, FakeLinkId>,
+    entries_by_link: IndexMap<FakeLinkId, EntryId>,
+    links_by_entry: IndexMap<EntryId, FakeLinkId>,
 }
 
 impl FakeAgent {
-    /// Creates a run of the agent with this number.
+    /// Creates a new run of the agent with this number.
     pub fn new(number: usize, incarnation: Incarnation) -> Self {
         Self {
             hello: AgentHello {
@@ -38,34 +38,36 @@
                 shard: 0,
                 slots: SLOTS,
             }),
-            names: IndexMap::new(),
-            by_entry: IndexMap::new(),
+            entries_by_link: IndexMap::new(),
+            links_by_entry: IndexMap::new(),
         }
     }
 
     /// Returns the newest link to an entry.
     pub fn link_to(&self, entry: &EntryId) -> Option<FakeLinkId> {
-        self.by_entry.get(entry).copied()
+        self.links_by_entry.get(entry).copied()
     }
 
-    /// Notes a closed link.
-    pub fn down(&mut self, link: FakeLinkId) -> Option<AgentInput> {
-        let entry = self.names.swap_remove(&link)?;
-        if self.by_entry.get(&entry) != Some(&link) {
+    /// Removes a closed link; returns the input for the machine, unless a newer link
+    /// to the same entry is open.
+    pub fn link_down(&mut self, link: FakeLinkId) -> Option<AgentInput> {
+        let entry = self.entries_by_link.swap_remove(&link)?;
+        if self.links_by_entry.get(&entry) != Some(&link) {
             return None;
         }
-        self.by_entry.swap_remove(&entry);
+        self.links_by_entry.swap_remove(&entry);
         Some(AgentInput::LinkDown(entry))
     }
 
-    /// Translates a message.
+    /// Translates a received message to an input for the machine. The entry's
+    /// announcement also registers the link.
     pub fn message(&mut self, link: FakeLinkId, message: Message) -> Option<AgentInput> {
         if let Message::Hello(Hello::Entry(member)) = message {
-            self.names.insert(link, member.entry.clone());
-            self.by_entry.insert(member.entry.clone(), link);
+            self.entries_by_link.insert(link, member.entry.clone());
+            self.links_by_entry.insert(member.entry.clone(), link);
             return Some(AgentInput::LinkUp(member.entry));
         }
-        let entry = self.names.get(&link)?.clone();
+        let entry = self.entries_by_link.get(&link)?.clone();
         Some(match message {
             Message::Confirmation(confirmation) => AgentInput::Confirmed(entry, confirmation),
             Message::Fence(fence) => AgentInput::Fence(entry, fence),
@@ -76,7 +78,7 @@
     }
 }
 
-/// Translates what an agent sends.
+/// Translates a message of the agent machine to the wire message.
 pub fn to_wire(message: AgentMessage) -> Message {
     match message {
         AgentMessage::Confirm(confirm) => Message::Confirm(confirm),
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -1,4 +1,4 @@
-//! One entry: its machines and links, as its daemon keeps them.
+//! A simulated entry: its machines, and the links that its daemon would keep.
 
 use {
     super::links::FakeLinkId,
@@ -19,7 +19,7 @@
     std::{collections::VecDeque, net::SocketAddr, rc::Rc},
 };
 
-/// What an entry does towards its surroundings.
+/// An effect that an entry requests from the simulated site.
 #[derive(Debug)]
 pub enum Effect {
     /// Read the table.
@@ -32,7 +32,7 @@
     Answer(WaiterId, Reply),
 }
 
-/// Who is at the other end of a link.
+/// The process at the other end of a link, and which end opened the link.
 #[derive(Clone, Debug, PartialEq)]
 enum Peer {
     Agent(EndpointId),
@@ -40,10 +40,10 @@
     Dialed(EntryId),
 }
 
-/// One entry.
+/// An entry of the simulated site.
 #[derive(Debug)]
 pub struct FakeEntry {
-    /// This entry.
+    /// The entry's own row in the table.
     pub me: Member,
     front: FrontMachine,
     membership: MembershipMachine,
@@ -54,12 +54,12 @@
     hellos: IndexMap<EndpointId, AgentHello>,
     dialed: IndexMap<EntryId, FakeLinkId>,
     accepted: IndexMap<EntryId, FakeLinkId>,
-    local: VecDeque<Request>,
+    local_requests: VecDeque<Request>,
     effects: Vec<Effect>,
 }
 
 impl FakeEntry {
-    /// Creates a run of the entry with this number.
+    /// Creates a new run of the entry with this number.
     pub fn new(number: usize, incarnation: Incarnation) -> Self {
         let me = Member {
             entry: format!("entry-{number}").into(),
@@ -83,36 +83,37 @@
             hellos: IndexMap::new(),
             dialed: IndexMap::new(),
             accepted: IndexMap::new(),
-            local: VecDeque::new(),
+            local_requests: VecDeque::new(),
             effects: Vec::new(),
             me,
         }
     }
 
-    /// Takes what is to be done.
-    pub fn effects(&mut self) -> Vec<Effect> {
+    /// Removes and returns the effects that are to be carried out.
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Returns the epoch under which the entry serves.
-    pub fn serves(&self) -> Option<Epoch> {
+    /// Returns the epoch under which the entry serves the shard; none if it does not.
+    pub fn serving_epoch(&self) -> Option<Epoch> {
         let owner = self.owner.as_ref().filter(|owner| owner.is_serving())?;
         Some(owner.conf().epoch)
     }
 
-    /// Takes a caller's request.
+    /// Handles a caller's request.
     pub fn request(&mut self, now: Now, waiter: WaiterId, request: Request) {
         self.front(now, FrontInput::Request(waiter, request));
     }
 
-    /// Notes that time passed.
+    /// Passes a tick of the clock to the machines.
     pub fn tick(&mut self, now: Now) {
         self.membership(now, MembershipInput::Tick);
         self.owner(now, OwnerInput::Tick);
     }
 
-    /// Notes an open link; `dialed` names the entry that was dialed.
-    pub fn up(&mut self, now: Now, link: FakeLinkId, dialed: Option<EntryId>) {
+    /// Handles an opened link; `dialed` names the peer if this entry opened the link
+    /// to another entry.
+    pub fn link_up(&mut self, now: Now, link: FakeLinkId, dialed: Option<EntryId>) {
         let hello = Message::Hello(Hello::Entry(self.me.clone()));
         self.effects.push(Effect::Send(link, hello));
         if let Some(configuration) = &self.configuration {
@@ -127,12 +128,12 @@
         }
     }
 
-    /// Notes a closed link.
-    pub fn down(&mut self, now: Now, link: FakeLinkId) {
+    /// Handles a closed link.
+    pub fn link_down(&mut self, now: Now, link: FakeLinkId) {
         match self.peers.shift_remove(&link) {
             Some(Peer::Agent(endpoint)) if self.agents.get(&endpoint) == Some(&link) => {
                 self.agents.swap_remove(&endpoint);
-                if let Some(link) = self.other_link(&Peer::Agent(endpoint.clone())) {
+                if let Some(link) = self.remaining_link(&Peer::Agent(endpoint.clone())) {
                     self.agents.insert(endpoint.clone(), link);
                     let hello = self.hellos[&endpoint].clone();
                     self.owner(now, OwnerInput::AgentUp(hello));
@@ -145,7 +146,7 @@
             }
             Some(Peer::Accepted(entry)) if self.accepted.get(&entry) == Some(&link) => {
                 self.accepted.swap_remove(&entry);
-                if let Some(link) = self.other_link(&Peer::Accepted(entry.clone())) {
+                if let Some(link) = self.remaining_link(&Peer::Accepted(entry.clone())) {
                     self.accepted.insert(entry, link);
                 }
             }
@@ -158,13 +159,13 @@
         }
     }
 
-    /// Returns the newest other open link to a peer.
-    fn other_link(&self, peer: &Peer) -> Option<FakeLinkId> {
-        let mut open = self.peers.iter().filter(|(_, other)| *other == peer);
-        open.next_back().map(|(link, _)| *link)
+    /// Returns the newest of the remaining links to a peer.
+    fn remaining_link(&self, peer: &Peer) -> Option<FakeLinkId> {
+        let mut links = self.peers.iter().filter(|(_, other)| *other == peer);
+        links.next_back().map(|(link, _)| *link)
     }
 
-    /// Takes a message.
+    /// Handles a message that arrived on a link.
     pub fn message(&mut self, now: Now, link: FakeLinkId, message: Message) {
         match (self.peers.get(&link).cloned(), message) {
             (None, Message::Hello(Hello::Agent(hello))) => {
@@ -226,27 +227,27 @@
             Message::Ask(job) => self.owner_request(now, entry, owner::Request::Ask(job)),
             Message::Cancel(job) => self.owner_request(now, entry, owner::Request::Cancel(job)),
             Message::Reply(reply) => self.front(now, FrontInput::Reply(reply)),
-            Message::Owner(owner) => self.entry_says(now, entry, EntryMessage::Owner(owner)),
-            Message::Agents(agents) => self.entry_says(now, entry, EntryMessage::Agents(agents)),
-            Message::Vouch(question) => {
-                self.entry_says(now, entry, EntryMessage::Vouch(question));
+            Message::Owner(owner) => self.peer_message(now, entry, EntryMessage::Owner(owner)),
+            Message::Agents(agents) => self.peer_message(now, entry, EntryMessage::Agents(agents)),
+            Message::Vouch(request) => {
+                self.peer_message(now, entry, EntryMessage::Vouch(request));
             }
-            Message::Vouched(vouched) => {
-                self.entry_says(now, entry, EntryMessage::Vouched(vouched));
+            Message::Vouched(vote) => {
+                self.peer_message(now, entry, EntryMessage::Vouched(vote));
             }
             Message::Acknowledgement(ack) => {
-                self.entry_says(now, entry, EntryMessage::Acknowledgement(ack));
+                self.peer_message(now, entry, EntryMessage::Acknowledgement(ack));
             }
-            Message::Configuration(configuration) => self.configured(now, configuration),
+            Message::Configuration(configuration) => self.configure(now, configuration),
             _ => {}
         }
     }
 
-    fn entry_says(&mut self, now: Now, entry: EntryId, message: EntryMessage) {
+    fn peer_message(&mut self, now: Now, entry: EntryId, message: EntryMessage) {
         self.membership(now, MembershipInput::FromEntry(entry, message));
     }
 
-    /// Passes an input to the machine of membership.
+    /// Passes an input to the membership machine and carries out its actions.
     pub fn membership(&mut self, now: Now, input: MembershipInput) {
         for action in self.membership.handle(now, input) {
             self.membership_action(now, action);
@@ -262,12 +263,12 @@
                 written_at,
                 known,
                 ..
-            } => self.own(now, epoch, Takeover::new(written_at, known)),
+            } => self.begin_ownership(now, epoch, Takeover::new(written_at, known)),
             MembershipAction::Acknowledged { at, agents, .. } => {
                 self.owner(now, OwnerInput::Acknowledged(at, agents));
             }
             MembershipAction::Send(entry, message) => {
-                self.say(&entry, message);
+                self.send_membership_message(&entry, message);
             }
             MembershipAction::Owned { at, .. } => self.owner(now, OwnerInput::Confirmed(at)),
             MembershipAction::Deposed(_) => self.owner = None,
@@ -278,12 +279,12 @@
             MembershipAction::Confirm(endpoint, confirmation) => {
                 self.send_agent(&endpoint, Message::Confirmation(confirmation));
             }
-            MembershipAction::Configured(configuration) => self.configured(now, configuration),
+            MembershipAction::Configured(configuration) => self.configure(now, configuration),
             MembershipAction::Members(_) => {}
         }
     }
 
-    fn configured(&mut self, now: Now, configuration: Configuration) {
+    fn configure(&mut self, now: Now, configuration: Configuration) {
         let known = self.configuration.as_ref().map(|c| c.revision);
         if known.is_none_or(|known| known < configuration.revision) {
             let configuration = Rc::new(configuration);
@@ -292,7 +293,7 @@
         }
     }
 
-    fn own(&mut self, now: Now, epoch: Epoch, takeover: Takeover) {
+    fn begin_ownership(&mut self, now: Now, epoch: Epoch, takeover: Takeover) {
         let conf = OwnerConf {
             shard: 0,
             epoch,
@@ -347,7 +348,7 @@
                     self.effects.push(Effect::Answer(waiter, reply));
                 }
                 FrontAction::Send(entry, request) if entry == self.me.entry => {
-                    self.local.push_back(request);
+                    self.local_requests.push_back(request);
                 }
                 FrontAction::Send(entry, request) => {
                     let message = match request {
@@ -359,7 +360,7 @@
                 }
             }
         }
-        while let Some(request) = self.local.pop_front() {
+        while let Some(request) = self.local_requests.pop_front() {
             let me = self.me.entry.clone();
             let request = match request {
                 Request::Submit(submit) => owner::Request::Submit(submit),
@@ -376,19 +377,19 @@
         }
     }
 
-    fn say(&mut self, entry: &EntryId, message: EntryMessage) {
+    fn send_membership_message(&mut self, entry: &EntryId, message: EntryMessage) {
         match message {
             EntryMessage::Agents(agents) => self.send_entry(entry, Message::Agents(agents)),
             EntryMessage::Owner(owner) => self.send_entry(entry, Message::Owner(owner)),
             EntryMessage::Acknowledgement(ack) => {
                 self.answer_entry(entry, Message::Acknowledgement(ack));
             }
-            EntryMessage::Vouch(question) => self.send_entry(entry, Message::Vouch(question)),
-            EntryMessage::Vouched(vouched) => self.answer_entry(entry, Message::Vouched(vouched)),
+            EntryMessage::Vouch(request) => self.send_entry(entry, Message::Vouch(request)),
+            EntryMessage::Vouched(vote) => self.answer_entry(entry, Message::Vouched(vote)),
         }
     }
 
-    /// Sends on the link that the other entry opened and asks on.
+    /// Sends a reply on the link that the other entry opened for its requests.
     fn answer_entry(&mut self, entry: &EntryId, message: Message) {
         if let Some(link) = self.accepted.get(entry) {
             self.effects.push(Effect::Send(*link, message));
--- a/crates/decisions/tests/fake_site/judge.rs
+++ b/crates/decisions/tests/fake_site/judge.rs
@@ -1,4 +1,4 @@
-//! Judges what callers got by what endpoints started.
+//! Checks the replies to callers against the tasks that endpoints started.
 
 use {
     super::Millis,
@@ -6,65 +6,66 @@
     indexmap::{IndexMap, IndexSet},
 };
 
-/// What a caller submitted.
+/// A caller's request, as the judge needs it.
 #[derive(Clone, Debug)]
-pub struct Asked {
-    /// Name of the job.
+pub struct JudgedRequest {
+    /// The job.
     pub job: JobRef,
-    /// Digest of its body.
+    /// Digest of the job's body.
     pub digest: BodyDigest,
-    /// Number of its tasks.
+    /// Number of the job's tasks.
     pub total: u16,
-    /// When it was submitted.
+    /// When the request was sent, in milliseconds since the beginning of the run.
     pub at: Millis,
-    /// How many submissions of the key there were with it; none where another
-    /// was open.
-    pub alone: Option<usize>,
+    /// Number of submissions of the key, including this one; none if another
+    /// request for the key was open.
+    pub submissions_if_alone: Option<usize>,
 }
 
-/// What was started and what was answered in one run.
+/// Record of the starts and answers of one run; panics at a violation.
 #[derive(Debug, Default)]
 pub struct Judge {
     starts: IndexMap<TaskRef, Millis>,
     submissions: IndexMap<JobRef, usize>,
     answers: IndexMap<(JobRef, BodyDigest), Vec<TaskOutcome>>,
-    never: IndexSet<TaskRef>,
-    /// How many answers were complete.
+    said_not_run: IndexSet<TaskRef>,
+    /// Number of answers in which every task completed.
     pub completed: usize,
-    /// How many replies of each kind callers got.
+    /// Number of replies to submissions, by kind.
     pub replies: IndexMap<&'static str, usize>,
 }
 
-/// Returns what an endpoint answers for a task.
+/// Returns the output of a completed task, which depends on the body.
 pub fn output(task: &TaskRef, digest: BodyDigest) -> String {
     format!("{task} of body {digest}")
 }
 
 impl Judge {
-    /// Takes a start at an endpoint.
+    /// Records a start at an endpoint: no task may start twice, or after a reply that
+    /// says it did not run.
     pub fn started(&mut self, start: &Start, at: Millis) {
         let task = &start.task;
         let first = self.starts.insert(task.clone(), at);
         assert!(first.is_none(), "{task} started twice");
         assert!(
-            !self.never.contains(task),
+            !self.said_not_run.contains(task),
             "{task} started after \"not run\""
         );
     }
 
-    /// Takes a submission: what did not run before may run now.
+    /// Records a submission, after which tasks that did not run before may run.
     ///
-    /// Returns how many submissions of the key there were.
+    /// Returns the number of submissions of the key so far.
     pub fn submitted(&mut self, job: &JobRef) -> usize {
-        self.never.retain(|task| task.job() != *job);
+        self.said_not_run.retain(|task| task.job() != *job);
         let count = self.submissions.entry(job.clone()).or_default();
         *count += 1;
         *count
     }
 
-    /// Takes the reply to a submission; `is_last` tells that nobody else waits
+    /// Checks the reply to a submission; `is_last` says that no other caller waits
     /// for the job.
-    pub fn replied(&mut self, asked: &Asked, reply: &Reply, is_last: bool) {
+    pub fn replied(&mut self, asked: &JudgedRequest, reply: &Reply, is_last: bool) {
         let (job, total) = (&asked.job, asked.total);
         let name = match reply {
             Reply::Answered(_) => "answered",
@@ -82,32 +83,38 @@
             }
             Reply::Refused(refusal) => {
                 let count = self.submissions.get(job).copied();
-                let is_alone = asked.alone.is_some() && asked.alone == count;
+                let is_alone =
+                    asked.submissions_if_alone.is_some() && asked.submissions_if_alone == count;
                 for task in (0..total).map(|index| job.task(index)) {
                     let started = self.starts.get(&task);
-                    // Another submission of the key may run meanwhile.
+                    // A task that started after this submission may belong to another
+                    // submission of the key.
                     let ran = started.is_some_and(|at| is_alone || *at < asked.at);
-                    assert!(!ran, "{task} ran and is refused for {refusal:?}");
+                    assert!(!ran, "{task} ran but was refused for {refusal:?}");
                 }
             }
-            Reply::NotFound => panic!("{job} was submitted and is not found"),
+            Reply::NotFound => panic!("{job} was submitted but is not found"),
             Reply::KeyReused | Reply::Unavailable(_) | Reply::Accepted => {}
         }
     }
 
-    fn answered(&mut self, asked: &Asked, outcomes: Vec<TaskOutcome>, is_last: bool) {
+    fn answered(&mut self, asked: &JudgedRequest, outcomes: Vec<TaskOutcome>, is_last: bool) {
         let (job, digest, total) = (&asked.job, asked.digest, asked.total);
-        assert_eq!(outcomes.len(), usize::from(total), "{job} is partial");
+        assert_eq!(
+            outcomes.len(),
+            usize::from(total),
+            "{job} has a partial answer"
+        );
         self.completed += usize::from(outcomes.iter().all(TaskOutcome::is_completed));
         for (index, outcome) in (0..).zip(&outcomes) {
             self.judge_task(&job.task(index), digest, outcome, is_last);
         }
         let known = self.answers.insert((job.clone(), digest), outcomes.clone());
         for (before, after) in known.into_iter().flatten().zip(outcomes) {
-            // Records of an agent that comes back may settle what was unknown,
-            // and what did not run may run when it is submitted again.
+            // Records of an agent that links again may replace an unknown outcome,
+            // and a task that did not run may run in a later submission.
             if has_run(&before) && after != TaskOutcome::OutcomeUnknown {
-                assert_eq!(before, after, "{job} was answered anew");
+                assert_eq!(before, after, "{job} got two different answers");
             }
         }
     }
@@ -121,14 +128,18 @@
     ) {
         match outcome {
             TaskOutcome::Completed(text) => {
-                assert_eq!(*text, output(task, digest), "answer of another body");
+                assert_eq!(
+                    *text,
+                    output(task, digest),
+                    "the output belongs to another body"
+                );
             }
             TaskOutcome::FailedWhileRunning(_) | TaskOutcome::OutcomeUnknown => {}
             TaskOutcome::NotRun(_) | TaskOutcome::Cancelled | TaskOutcome::DeadlinePassed => {
                 let ran = self.starts.contains_key(task);
-                assert!(!ran, "{task} ran and its answer is {outcome:?}");
+                assert!(!ran, "{task} ran but its outcome is {outcome:?}");
                 if is_last {
-                    self.never.insert(task.clone());
+                    self.said_not_run.insert(task.clone());
                 }
             }
         }
--- a/crates/decisions/tests/fake_site/links.rs
+++ b/crates/decisions/tests/fake_site/links.rs
@@ -1,11 +1,11 @@
-//! Links that deliver in order, late, or not at all.
+//! Simulated links, which deliver messages in order, with a delay, or not at all.
 
 use {
     super::{Millis, Node},
     indexmap::IndexMap,
 };
 
-/// Number of a link.
+/// Index of a link in the site's list.
 pub type FakeLinkId = usize;
 
 /// One link between two processes.
@@ -15,9 +15,9 @@
     pub from: (Node, u64),
     /// The process that accepted it, and its run.
     pub to: (Node, u64),
-    /// Longest delay of a message.
+    /// Longest delay of a message, in milliseconds.
     pub delay: Millis,
-    /// Whether messages are lost from now on.
+    /// Whether new messages are lost.
     pub broken: bool,
     last_delivery: IndexMap<Node, Millis>,
 }
@@ -34,15 +34,16 @@
         }
     }
 
-    /// Returns when a message to `node` arrives that is `delay` on its way.
-    pub fn delivery(&mut self, node: Node, at: Millis) -> Millis {
+    /// Returns when a message to `node` that is due at `at` arrives: not before the
+    /// message sent ahead of it.
+    pub fn delivery_time(&mut self, node: Node, at: Millis) -> Millis {
         let last = self.last_delivery.entry(node).or_default();
         *last = at.max(*last);
         *last
     }
 
-    /// Returns the other end and its run.
-    pub fn other(&self, node: Node) -> (Node, u64) {
+    /// Returns the process at the other end, and its run.
+    pub fn other_end(&self, node: Node) -> (Node, u64) {
         if self.from.0 == node {
             self.to
         } else {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Whether it joins the two processes.
+    /// Whether the link joins these two processes.
     pub fn joins(&self, a: Node, b: Node) -> bool {
         (self.from.0 == a && self.to.0 == b) || (self.from.0 == b && self.to.0 == a)
     }
--- a/crates/decisions/tests/fake_site/mod.rs
+++ b/crates/decisions/tests/fake_site/mod.rs
@@ -1,5 +1,5 @@
-//! The machines of a few entries and agents on a handed-in clock, with fakes
-//! at their borders: a table, links, callers and endpoints.
+//! A simulated site: the machines of a few entries and agents on a virtual clock,
+//! with a fake table and fake links, callers and endpoints.
 
 mod agent;
 mod entry;
@@ -10,10 +10,10 @@
 
 pub use site::Site;
 
-/// Milliseconds since the beginning of a run.
+/// Time since the beginning of a run, or a duration, in milliseconds.
 pub type Millis = u64;
 
-/// One process of the site.
+/// Identifies a process of the site.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Node {
     /// An entry, by number.
--- a/crates/decisions/tests/fake_site/site.rs
+++ b/crates/decisions/tests/fake_site/site.rs
@@ -1,12 +1,12 @@
-//! The site: processes, links and the table on one clock, and what befalls
-//! them.
+//! The simulated site: its processes, links and table on one virtual clock, with
+//! random load and faults.
 
 use {
     super::{
         Millis, Node,
         agent::{FakeAgent, to_wire},
         entry::{Effect, FakeEntry},
-        judge::{Asked, Judge, output},
+        judge::{Judge, JudgedRequest, output},
         links::{FakeLink, FakeLinkId},
         table::FakeTable,
     },
@@ -25,58 +25,68 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
+/// Number of entries.
 const ENTRIES: usize = 3;
+/// Number of agents, each with one endpoint.
 const AGENTS: usize = 3;
 const ENTRY_TICK: Millis = 50;
 const AGENT_TICK: Millis = 100;
-const REDIAL_PAUSE: Millis = 200;
+const REDIAL_DELAY: Millis = 200;
+/// Longest time until a process notices that a link broke; a process that is frozen
+/// for longer loses its links.
 const SILENCE_LIMIT: Millis = 1_500;
-const READ_TIMEOUT: Millis = 500;
-const MEAN_FAULT_PAUSE: Millis = 700;
-const MEAN_SUBMISSION_PAUSE: Millis = 60;
+/// Time after which a read or write without a reply from the table fails.
+const TABLE_TIMEOUT: Millis = 500;
+const MEAN_FAULT_INTERVAL: Millis = 700;
+const MEAN_REQUEST_INTERVAL: Millis = 60;
+/// Number of job keys from which callers choose in each period of four seconds.
 const KEYS: u16 = 60;
 
-/// Something that happens to one process.
+/// An event that is scheduled for one process.
 #[derive(Clone, Debug)]
 enum Event {
     Tick,
     Dial(Node),
+    /// A link opened; true at the end that dialed.
     Up(FakeLinkId, bool),
     Down(FakeLinkId),
     Message(FakeLinkId, Message),
+    /// The reply to a read; none if the read failed.
     TableRead(Option<Box<TableSnapshot>>),
     TableWritten(TableWrite, WriteResult),
-    Ran(TaskRef, RunOutcome),
-    Wake,
+    /// An endpoint reported the end of a task.
+    TaskEnded(TaskRef, RunOutcome),
+    /// A frozen process continues.
+    Resume,
     Restart,
-    /// Takes effect whether or not the writer still runs.
-    Apply(TableWrite),
+    /// A write reaches the table, even if its writer has been killed.
+    ApplyWrite(TableWrite),
 }
 
-/// A caller that waits.
+/// A caller that waits for a reply.
 #[derive(Clone, Debug)]
 struct Caller {
     entry: usize,
-    asked: Asked,
+    asked: JudgedRequest,
     judged: bool,
 }
 
-/// State of one process.
+/// State of one process, without its machines.
 #[derive(Debug, Default)]
 struct Process {
     run: u64,
     dead: bool,
     frozen: bool,
-    stash: Vec<(u64, Event)>,
+    deferred: Vec<(u64, Event)>,
 }
 
-/// A site with seeded faults.
+/// A simulated site with seeded load and faults.
 #[derive(Debug)]
 pub struct Site {
-    /// Judges what callers got.
+    /// Checks the replies that callers get.
     pub judge: Judge,
     rng: StdRng,
-    begin: Now,
+    started_at: Now,
     at: Millis,
     sequence: u64,
     queue: BTreeMap<(Millis, u64), (Node, u64, Event)>,
@@ -93,12 +103,12 @@
 }
 
 impl Site {
-    /// Creates a site whose faults and delays follow from `seed`.
+    /// Creates a site whose load, faults and delays are drawn from `seed`.
     pub fn new(seed: u64) -> Self {
         let mut site = Self {
             judge: Judge::default(),
             rng: StdRng::seed_from_u64(seed),
-            begin: Now::read(),
+            started_at: Now::read(),
             at: 0,
             sequence: 0,
             queue: BTreeMap::new(),
@@ -131,36 +141,36 @@
         site
     }
 
-    /// Runs for a time with load, and with faults if so told.
+    /// Runs the site under load for `time`, with random faults if `faults` is set.
     pub fn run(&mut self, time: Millis, faults: bool) {
         let end = self.at + time;
-        let mut next_fault = self.at + self.pause(MEAN_FAULT_PAUSE);
-        let mut next_submission = self.at + self.pause(MEAN_SUBMISSION_PAUSE);
+        let mut next_fault = self.at + self.random_delay(MEAN_FAULT_INTERVAL);
+        let mut next_request = self.at + self.random_delay(MEAN_REQUEST_INTERVAL);
         while self.at < end {
             let next_event = self.queue.first_key_value().map_or(end, |(key, _)| key.0);
-            self.at = next_event.min(next_fault).min(next_submission).max(self.at);
+            self.at = next_event.min(next_fault).min(next_request).max(self.at);
             if self.at == next_fault {
                 if faults {
-                    self.fault();
+                    self.inject_fault();
                 }
-                next_fault = self.at + self.pause(MEAN_FAULT_PAUSE);
-            } else if self.at == next_submission {
-                self.submission();
-                next_submission = self.at + self.pause(MEAN_SUBMISSION_PAUSE);
+                next_fault = self.at + self.random_delay(MEAN_FAULT_INTERVAL);
+            } else if self.at == next_request {
+                self.send_request();
+                next_request = self.at + self.random_delay(MEAN_REQUEST_INTERVAL);
             } else {
                 self.step();
             }
         }
     }
 
-    /// Ends every fault and runs until callers got their replies.
+    /// Ends every fault and runs the site for `time` without new load.
     pub fn settle(&mut self, time: Millis) {
         self.table.down = false;
         self.table.cut_off.clear();
         self.blocked.clear();
         for node in nodes() {
             if self.processes[&node].frozen {
-                self.wake(node);
+                self.resume(node);
             }
         }
         let end = self.at + time;
@@ -173,12 +183,12 @@
         }
     }
 
-    /// Takes the table down, for every entry.
+    /// Makes the table unreachable for every process.
     pub fn take_table_down(&mut self) {
         self.table.down = true;
     }
 
-    /// Kills the process of an entry for good.
+    /// Kills the process of an entry without a restart.
     pub fn kill_entry(&mut self, number: usize) {
         self.kill(Node::Entry(number));
         let run = self.processes[&Node::Entry(number)].run;
@@ -186,17 +196,17 @@
             .retain(|_, (node, of_run, _)| (*node, *of_run) != (Node::Entry(number), run));
     }
 
-    /// Returns the callers without a reply.
-    pub fn waiting(&self) -> Vec<String> {
+    /// Describes the callers that still wait for a reply.
+    pub fn waiting_callers(&self) -> Vec<String> {
         self.callers
             .values()
             .map(|caller| format!("{} at entry-{}", caller.asked.job, caller.entry))
             .collect()
     }
 
-    /// Returns the entries that serve, with their epochs.
-    pub fn serving(&self) -> Vec<(usize, u64)> {
-        let epochs = self.entries.iter().map(FakeEntry::serves);
+    /// Returns the numbers of the entries that serve the shard, with their epochs.
+    pub fn serving_entries(&self) -> Vec<(usize, u64)> {
+        let epochs = self.entries.iter().map(FakeEntry::serving_epoch);
         (0..)
             .zip(epochs)
             .filter_map(|(n, e)| Some((n, e?)))
@@ -204,10 +214,10 @@
     }
 
     fn now(&self) -> Now {
-        self.begin.later(Duration::from_millis(self.at))
+        self.started_at.later(Duration::from_millis(self.at))
     }
 
-    fn pause(&mut self, mean: Millis) -> Millis {
+    fn random_delay(&mut self, mean: Millis) -> Millis {
         self.rng.random_range(1..=2 * mean)
     }
 
@@ -230,8 +240,8 @@
             return;
         };
         match event {
-            Event::Apply(write) => return self.apply(node, run, write),
-            Event::Wake => return self.wake(node),
+            Event::ApplyWrite(write) => return self.apply_write(node, run, write),
+            Event::Resume => return self.resume(node),
             Event::Restart => return self.boot(node),
             _ => {}
         }
@@ -240,7 +250,7 @@
             return;
         }
         if process.frozen {
-            process.stash.push((run, event));
+            process.deferred.push((run, event));
             return;
         }
         match &event {
@@ -272,7 +282,7 @@
         self.schedule(node, 1, Event::Tick);
         for number in 0..ENTRIES {
             if node != Node::Entry(number) {
-                let after = self.pause(20);
+                let after = self.random_delay(20);
                 self.schedule(node, after, Event::Dial(Node::Entry(number)));
             }
         }
@@ -288,19 +298,19 @@
             }
             Event::Dial(to) => self.dial(node, to),
             Event::Up(link, dialed) => {
-                let peer = self.links[link].other(node).0;
+                let peer = self.links[link].other_end(node).0;
                 let name = match peer {
                     Node::Entry(peer) if dialed => Some(format!("entry-{peer}").into()),
                     _ => None,
                 };
-                entry.up(now, link, name);
+                entry.link_up(now, link, name);
                 if dialed {
                     let hello = Hello::Entry(self.entries[number].me.clone());
                     self.send(node, link, Message::Hello(hello));
                 }
             }
             Event::Down(link) => {
-                entry.down(now, link);
+                entry.link_down(now, link);
                 self.redial(node, link);
             }
             Event::Message(link, message) => entry.message(now, link, message),
@@ -313,18 +323,18 @@
             }
             _ => {}
         }
-        self.entry_effects(number);
+        self.apply_effects(number);
     }
 
-    fn entry_effects(&mut self, number: usize) {
+    fn apply_effects(&mut self, number: usize) {
         let node = Node::Entry(number);
-        for effect in self.entries[number].effects() {
+        for effect in self.entries[number].take_effects() {
             match effect {
-                Effect::Read => self.read(node),
+                Effect::Read => self.read_table(node),
                 Effect::Write(write) => {
-                    let slow = if self.chance(10) { 1_500 } else { 15 };
-                    let after = self.pause(slow);
-                    self.schedule(node, after, Event::Apply(write));
+                    let mean = if self.chance(10) { 1_500 } else { 15 };
+                    let after = self.random_delay(mean);
+                    self.schedule(node, after, Event::ApplyWrite(write));
                 }
                 Effect::Send(link, message) => self.send(node, link, message),
                 Effect::Answer(waiter, reply) => {
@@ -341,31 +351,31 @@
         }
     }
 
-    fn read(&mut self, node: Node) {
-        if self.is_table_out(node) {
-            return self.schedule(node, READ_TIMEOUT, Event::TableRead(None));
+    fn read_table(&mut self, node: Node) {
+        if self.is_table_unreachable(node) {
+            return self.schedule(node, TABLE_TIMEOUT, Event::TableRead(None));
         }
-        let slow = if self.chance(10) { 400 } else { 10 };
-        let after = self.pause(slow);
+        let mean = if self.chance(10) { 400 } else { 10 };
+        let after = self.random_delay(mean);
         let rows = Box::new(self.table.rows.clone());
         self.schedule(node, after, Event::TableRead(Some(rows)));
     }
 
-    fn is_table_out(&self, node: Node) -> bool {
+    fn is_table_unreachable(&self, node: Node) -> bool {
         self.table.down || self.table.cut_off.contains(&node)
     }
 
-    fn apply(&mut self, node: Node, run: u64, write: TableWrite) {
-        let is_out = self.is_table_out(node);
-        let lost = is_out || self.chance(15);
+    fn apply_write(&mut self, node: Node, run: u64, write: TableWrite) {
+        let is_unreachable = self.is_table_unreachable(node);
+        let lost = is_unreachable || self.chance(15);
         let mut result = WriteResult::Unknown;
-        if !is_out {
+        if !is_unreachable {
             result = self.table.write(&write);
         }
         let (result, after) = if lost {
-            (WriteResult::Unknown, READ_TIMEOUT)
+            (WriteResult::Unknown, TABLE_TIMEOUT)
         } else {
-            (result, self.pause(10))
+            (result, self.random_delay(10))
         };
         let event = Event::TableWritten(write, result);
         self.schedule_for(node, run, self.at + after, event);
@@ -389,12 +399,12 @@
                 None
             }
             Event::Down(link) => {
-                let input = agent.down(link);
+                let input = agent.link_down(link);
                 self.redial(node, link);
                 input
             }
             Event::Message(link, message) => agent.message(link, message),
-            Event::Ran(task, outcome) => Some(AgentInput::Ran(task, outcome)),
+            Event::TaskEnded(task, outcome) => Some(AgentInput::Ran(task, outcome)),
             _ => None,
         };
         let Some(input) = input else {
@@ -402,7 +412,7 @@
         };
         for action in self.agents[number].machine.handle(now, input) {
             match action {
-                AgentAction::Run(start) => self.start(node, &start),
+                AgentAction::Run(start) => self.start_task(node, &start),
                 AgentAction::Send(entry, message) => {
                     if let Some(link) = self.agents[number].link_to(&entry) {
                         self.send(node, link, to_wire(message));
@@ -412,9 +422,9 @@
         }
     }
 
-    fn start(&mut self, node: Node, start: &Start) {
+    fn start_task(&mut self, node: Node, start: &Start) {
         let after = if self.chance(5) { 3_000 } else { 100 };
-        let after = self.pause(after);
+        let after = self.random_delay(after);
         let outcome = match self.rng.random_range(0..100) {
             0..3 => RunOutcome::Failed("broken".to_owned()),
             3..6 => RunOutcome::NotStarted,
@@ -424,7 +434,7 @@
         if outcome != RunOutcome::NotStarted {
             self.judge.started(start, self.at);
         }
-        let event = Event::Ran(start.task.clone(), outcome);
+        let event = Event::TaskEnded(start.task.clone(), outcome);
         self.schedule(node, after, event);
     }
 
@@ -432,41 +442,41 @@
         let until = self.blocked.get(&(from, to)).copied().unwrap_or_default();
         let target = &self.processes[&to];
         if target.dead || target.frozen || self.at < until {
-            return self.schedule(from, REDIAL_PAUSE, Event::Dial(to));
+            return self.schedule(from, REDIAL_DELAY, Event::Dial(to));
         }
         let delay = if self.chance(15) { 700 } else { 3 };
         let ends = [from, to].map(|node| (node, self.processes[&node].run));
         let link = self.links.len();
         self.links.push(FakeLink::new(ends[0], ends[1], delay));
         for (node, dialed) in [(from, true), (to, false)] {
-            let at = self.links[link].delivery(node, self.at + 1);
+            let at = self.links[link].delivery_time(node, self.at + 1);
             let run = self.processes[&node].run;
             self.schedule_for(node, run, at, Event::Up(link, dialed));
         }
     }
 
-    /// Opens a link again where this end had opened the closed one.
+    /// Schedules a new dial if this process had opened the closed link.
     fn redial(&mut self, node: Node, link: FakeLinkId) {
         let link = &self.links[link];
         if link.from.0 == node {
             let to = link.to.0;
-            self.schedule(node, REDIAL_PAUSE, Event::Dial(to));
+            self.schedule(node, REDIAL_DELAY, Event::Dial(to));
         }
     }
 
     fn send(&mut self, from: Node, link: FakeLinkId, message: Message) {
         let delay = self.links[link].delay;
-        let at = self.at + self.pause(delay) / 2 + 1;
+        let at = self.at + self.random_delay(delay) / 2 + 1;
         let link_state = &mut self.links[link];
         if link_state.broken {
             return;
         }
-        let (to, run) = link_state.other(from);
-        let at = link_state.delivery(to, at);
+        let (to, run) = link_state.other_end(from);
+        let at = link_state.delivery_time(to, at);
         self.schedule_for(to, run, at, Event::Message(link, message));
     }
 
-    /// Breaks a link; each end learns of it in its own time.
+    /// Breaks a link; each end notices it after a random time of at most `within`.
     fn break_link(&mut self, link: FakeLinkId, within: Millis) {
         if std::mem::replace(&mut self.links[link].broken, true) {
             return;
@@ -477,8 +487,8 @@
         }
     }
 
-    fn fault(&mut self) {
-        let node = self.any_node();
+    fn inject_fault(&mut self) {
+        let node = self.random_node();
         match self.rng.random_range(0..12) {
             0..2 => self.kill(node),
             2..4 => self.freeze(node),
@@ -493,8 +503,8 @@
                 self.break_link(link, SILENCE_LIMIT);
             }
             8..10 => {
-                let other = self.any_node();
-                let until = self.at + self.pause(4_000);
+                let other = self.random_node();
+                let until = self.at + self.random_delay(4_000);
                 self.blocked.insert((node, other), until);
                 self.blocked.insert((other, node), until);
                 for link in 0..self.links.len() {
@@ -512,7 +522,7 @@
         }
     }
 
-    fn any_node(&mut self) -> Node {
+    fn random_node(&mut self) -> Node {
         nodes()[self.rng.random_range(0..ENTRIES + AGENTS)]
     }
 
@@ -531,7 +541,7 @@
         if let Node::Entry(number) = node {
             self.callers.retain(|_, caller| caller.entry != number);
         }
-        let after = self.pause(2_000);
+        let after = self.random_delay(2_000);
         self.schedule(node, after, Event::Restart);
     }
 
@@ -542,7 +552,7 @@
         }
         process.frozen = true;
         let run = process.run;
-        let after = self.pause(4_000);
+        let after = self.random_delay(4_000);
         if after > SILENCE_LIMIT {
             for link in 0..self.links.len() {
                 let ends = [self.links[link].from, self.links[link].to];
@@ -551,18 +561,19 @@
                 }
             }
         }
-        self.schedule(node, after, Event::Wake);
+        self.schedule(node, after, Event::Resume);
     }
 
-    fn wake(&mut self, node: Node) {
+    fn resume(&mut self, node: Node) {
         self.processes[&node].frozen = false;
-        for (run, event) in std::mem::take(&mut self.processes[&node].stash) {
+        for (run, event) in std::mem::take(&mut self.processes[&node].deferred) {
             self.schedule_for(node, run, self.at, event);
         }
     }
 
-    /// Submits, resubmits, asks or cancels at an entry that runs.
-    fn submission(&mut self) {
+    /// Sends a random submission, query or cancellation to a random entry, if that
+    /// entry runs.
+    fn send_request(&mut self) {
         let number = self.rng.random_range(0..ENTRIES);
         let process = &self.processes[&Node::Entry(number)];
         if process.dead || process.frozen {
@@ -580,19 +591,19 @@
         let request = match self.rng.random_range(0..20) {
             0 => Request::Ask(job.clone()),
             1 => Request::Cancel(job.clone()),
-            _ => Request::Submit(self.submit(&job, digest, total)),
+            _ => Request::Submit(self.new_submission(&job, digest, total)),
         };
         self.next_waiter += 1;
         let waiter = self.next_waiter;
         let judged = matches!(request, Request::Submit(_));
         let is_open = self.callers.values().any(|caller| caller.asked.job == job);
         let count = judged.then(|| self.judge.submitted(&job));
-        let asked = Asked {
+        let asked = JudgedRequest {
             job,
             digest,
             total,
             at: self.at,
-            alone: count.filter(|_| !is_open),
+            submissions_if_alone: count.filter(|_| !is_open),
         };
         let caller = Caller {
             entry: number,
@@ -602,10 +613,10 @@
         self.callers.insert(waiter, caller);
         let now = self.now();
         self.entries[number].request(now, waiter, request);
-        self.entry_effects(number);
+        self.apply_effects(number);
     }
 
-    fn submit(&mut self, job: &JobRef, digest: BodyDigest, total: u16) -> Submit {
+    fn new_submission(&mut self, job: &JobRef, digest: BodyDigest, total: u16) -> Submit {
         let task = TaskSpec {
             kind: "stamp".into(),
             declared_run_time: Duration::from_millis(50),
--- a/crates/decisions/tests/fake_site/table.rs
+++ b/crates/decisions/tests/fake_site/table.rs
@@ -1,4 +1,5 @@
-//! A table that can be down, slow, and lose answers after the effect.
+//! A fake table, which can be down or unreachable for single processes. The site
+//! adds delays and lost replies.
 
 use {
     super::Node,
@@ -6,22 +7,22 @@
     indexmap::IndexSet,
 };
 
-/// The platform's table.
+/// The table in memory.
 #[derive(Debug, Default)]
 pub struct FakeTable {
-    /// Whether it answers nobody.
+    /// Whether no process can reach the table.
     pub down: bool,
-    /// Processes that it does not answer.
+    /// Processes that cannot reach the table.
     pub cut_off: IndexSet<Node>,
-    /// Its rows.
+    /// The present rows.
     pub rows: TableSnapshot,
     revision: Revision,
 }
 
 impl FakeTable {
-    /// Applies a conditional write.
+    /// Applies a write if the row still has the expected revision.
     pub fn write(&mut self, write: &TableWrite) -> WriteResult {
-        let present = self.present(&write.row);
+        let present = self.present_revision(&write.row);
         if present != write.expected {
             return WriteResult::Conflict(present);
         }
@@ -52,7 +53,7 @@
         WriteResult::Accepted(revision)
     }
 
-    fn present(&self, row: &TableRow) -> Revision {
+    fn present_revision(&self, row: &TableRow) -> Revision {
         let rows = &self.rows;
         match row {
             TableRow::Member(member) => rows.members.get(&member.entry).map(|r| r.revision),
--- a/crates/decisions/tests/random_orders.rs
+++ b/crates/decisions/tests/random_orders.rs
@@ -1,6 +1,6 @@
-//! Seeded random orders of messages and faults against the whole set of
-//! machines. `CHESTNUTRUN_SEEDS` sets how many seeds run; `CHESTNUTRUN_SEED`
-//! runs a single one.
+//! Seeded random orders of messages and faults against the machines of a whole
+//! site. `CHESTNUTRUN_SEEDS` sets the number of seeds, `CHESTNUTRUN_FIRST_SEED`
+//! seeds their generator, and `CHESTNUTRUN_SEED` runs a single seed.
 
 mod fake_site;
 
@@ -13,49 +13,51 @@
     std::env,
 };
 
-/// Seeds that run where nothing else is asked for.
-const SEEDS: u32 = 60;
+/// Number of seeds without `CHESTNUTRUN_SEEDS`.
+const DEFAULT_SEEDS: u32 = 60;
 
-/// Seed of the generator of seeds.
-const FIRST_SEED: u64 = 1;
+/// Seed of the generator of seeds without `CHESTNUTRUN_FIRST_SEED`.
+const DEFAULT_FIRST_SEED: u64 = 1;
 
-/// How long load and faults go on, in milliseconds.
-const FAULTS: u64 = 20_000;
+/// Length of the phase with load and faults, in milliseconds.
+const FAULT_PHASE: u64 = 20_000;
 
-/// How long load goes on after the faults, in milliseconds.
-const LOAD_AFTER_FAULTS: u64 = 5_000;
+/// Length of the phase with load and no faults after it, in milliseconds.
+const LOAD_PHASE: u64 = 5_000;
 
-/// How long callers may wait after the faults, in milliseconds.
-const SETTLED_WITHIN: u64 = 60_000;
+/// Longest time until every caller has a reply once faults end, in milliseconds.
+const SETTLE_TIME: u64 = 60_000;
 
 #[test]
-fn once_whole_and_answered_under_faults() {
-    if let Some(seed) = read("CHESTNUTRUN_SEED") {
-        run(seed);
+fn tasks_start_once_and_answers_are_complete_under_faults() {
+    if let Some(seed) = read_number("CHESTNUTRUN_SEED") {
+        run_seed(seed);
         return;
     }
-    let seeds = read("CHESTNUTRUN_SEEDS").and_then(|n| u32::try_from(n).ok());
+    let seeds = read_number("CHESTNUTRUN_SEEDS").and_then(|n| u32::try_from(n).ok());
     let config = Config {
-        cases: seeds.unwrap_or(SEEDS),
+        cases: seeds.unwrap_or(DEFAULT_SEEDS),
         failure_persistence: None,
         max_shrink_iters: 0,
-        rng_seed: RngSeed::Fixed(read("CHESTNUTRUN_FIRST_SEED").unwrap_or(FIRST_SEED)),
+        rng_seed: RngSeed::Fixed(
+            read_number("CHESTNUTRUN_FIRST_SEED").unwrap_or(DEFAULT_FIRST_SEED),
+        ),
         ..Config::default()
     };
     let outcome = TestRunner::new(config).run(&any::<u64>(), |seed| {
-        run(seed);
+        run_seed(seed);
         Ok(())
     });
     outcome.expect("every seed passes");
 }
 
 #[test]
-fn service_goes_on_without_the_table_and_one_entry() {
+fn service_continues_without_the_table_and_one_entry() {
     let mut site = Site::new(7);
     site.run(4_000, false);
     site.take_table_down();
     site.run(10_000, false);
-    let owner = site.serving()[0].0;
+    let owner = site.serving_entries()[0].0;
     site.kill_entry((owner + 1) % 3);
     let before = site.judge.completed;
     site.run(10_000, false);
@@ -63,32 +65,32 @@
     assert!(completed > 25, "{completed} jobs completed");
 }
 
-fn run(seed: u64) {
+fn run_seed(seed: u64) {
     let mut site = Site::new(seed);
-    site.run(FAULTS, true);
-    site.settle(SETTLED_WITHIN);
-    assert_eq!(site.serving().len(), 1, "one entry serves");
-    let waiting = site.waiting();
+    site.run(FAULT_PHASE, true);
+    site.settle(SETTLE_TIME);
+    assert_eq!(site.serving_entries().len(), 1, "one entry serves");
+    let waiting = site.waiting_callers();
     assert!(waiting.is_empty(), "without a reply: {waiting:?}");
-    serves_again(&mut site);
+    check_service(&mut site);
 }
 
-/// Load without faults is answered, whatever happened before.
-fn serves_again(site: &mut Site) {
-    let before = answered(site);
-    site.run(LOAD_AFTER_FAULTS, false);
-    site.settle(SETTLED_WITHIN);
-    let waiting = site.waiting();
+/// Checks that the site answers new load after the faults have ended.
+fn check_service(site: &mut Site) {
+    let before = answered_count(site);
+    site.run(LOAD_PHASE, false);
+    site.settle(SETTLE_TIME);
+    let waiting = site.waiting_callers();
     assert!(waiting.is_empty(), "without a reply: {waiting:?}");
-    let answered = answered(site) - before;
+    let answered = answered_count(site) - before;
     assert!(answered > 20, "{answered}: {:?}", site.judge.replies);
 }
 
-fn answered(site: &Site) -> usize {
+fn answered_count(site: &Site) -> usize {
     let answered = site.judge.replies.get("answered").copied();
     answered.unwrap_or_default()
 }
 
-fn read(name: &str) -> Option<u64> {
+fn read_number(name: &str) -> Option<u64> {
     env::var(name).ok()?.parse().ok()
 }
