--- a/crates/decisions/tests/entry_regressions.rs
+++ b/crates/decisions/tests/entry_regressions.rs
@@ -1,5 +1,4 @@
-//! Faults of the machines of membership and of callers that were found and
-//! mended.
+//! Regression tests of the membership machine and the front machine.
 
 use {
     chestnutrun_decisions::{
@@ -117,8 +116,8 @@
         runs: Vec::new(),
         complete: true,
     };
-    let told = MembershipAction::Send("entry-1".into(), EntryMessage::Agents(known));
-    assert!(actions.contains(&told), "{actions:?}");
+    let announcement = MembershipAction::Send("entry-1".into(), EntryMessage::Agents(known));
+    assert!(actions.contains(&announcement), "{actions:?}");
 }
 
 #[rstest]
@@ -141,16 +140,16 @@
         shards: 0,
     });
     read(&mut machine, snapshot_with_me());
-    let gone = TableWrite {
+    let removal = TableWrite {
         row: TableRow::MemberGone(me().entry),
         expected: 1,
     };
     let leave = machine.handle(Now::read(), MembershipInput::Leave);
-    assert_eq!(leave, [MembershipAction::Write(gone.clone())]);
-    let lost = MembershipInput::Written(gone.clone(), WriteResult::Unknown);
+    assert_eq!(leave, [MembershipAction::Write(removal.clone())]);
+    let lost = MembershipInput::Written(removal.clone(), WriteResult::Unknown);
     machine.handle(Now::read(), lost);
     let actions = read(&mut machine, snapshot_with_me());
-    assert!(actions.contains(&MembershipAction::Write(gone)));
+    assert!(actions.contains(&MembershipAction::Write(removal)));
 }
 
 fn front() -> FrontMachine {
@@ -164,7 +163,7 @@
 }
 
 #[rstest]
-fn the_answer_of_another_body_goes_to_who_asked_for_any() {
+fn the_answer_of_another_body_goes_to_queries_only() {
     let mut front = front();
     front.handle(FrontInput::Request(1, Request::Ask(job())));
     front.handle(FrontInput::Request(2, Request::Submit(submit(7))));
@@ -179,12 +178,12 @@
 }
 
 #[rstest]
-fn not_run_from_an_owner_whose_successor_has_the_submission_answers_nobody() {
+fn not_run_from_an_owner_whose_successor_has_the_submission_is_ignored() {
     let mut front = front();
     front.handle(FrontInput::Request(1, Request::Submit(submit(7))));
     front.handle(FrontInput::Owner(owner(2)));
     let not_run = Reply::Answered(JobAnswer::new([TaskOutcome::Cancelled]));
-    let said = |epoch, reply: &Reply| {
+    let reply_of = |epoch, reply: &Reply| {
         FrontInput::Reply(JobReply {
             job: job(),
             digest: Some(7),
@@ -192,33 +191,36 @@
             reply: reply.clone(),
         })
     };
-    assert_eq!(front.handle(said(1, &not_run)), []);
+    assert_eq!(front.handle(reply_of(1, &not_run)), []);
     let ran = Reply::Answered(JobAnswer::new([TaskOutcome::Completed(String::new())]));
-    let answered = front.handle(said(2, &ran));
+    let answered = front.handle(reply_of(2, &ran));
     assert_eq!(answered, [FrontAction::Answer(1, ran)]);
 }
 
 #[rstest]
-fn nobody_waits_for_an_answer_after_the_receipt() {
+fn no_caller_waits_for_an_answer_after_the_receipt() {
     let mut front = front();
     let mut submit = submit(7);
     submit.wants_receipt = true;
     front.handle(FrontInput::Request(1, Request::Submit(submit)));
-    let said = |reply| JobReply {
+    let reply_of = |reply| JobReply {
         job: job(),
         digest: Some(7),
         epoch: 1,
         reply,
     };
-    front.handle(FrontInput::Reply(said(Reply::Accepted)));
-    let answer = said(Reply::Answered(JobAnswer::new([])));
-    assert!(!front.waits_for(&answer), "the caller has its receipt");
+    front.handle(FrontInput::Reply(reply_of(Reply::Accepted)));
+    let answer = reply_of(Reply::Answered(JobAnswer::new([])));
+    assert!(
+        !front.waits_for(&answer),
+        "the caller already has its receipt"
+    );
     front.handle(FrontInput::Request(2, Request::Ask(job())));
     assert!(front.waits_for(&answer), "the caller asks for the answer");
 }
 
 #[rstest]
-fn one_submission_of_a_body_is_out_at_a_time() {
+fn one_submission_of_a_body_is_sent_at_a_time() {
     let mut front = front();
     front.handle(FrontInput::Request(1, Request::Submit(submit(7))));
     let second = front.handle(FrontInput::Request(2, Request::Submit(submit(7))));
@@ -230,7 +232,7 @@
 }
 
 #[rstest]
-fn a_request_that_came_before_the_owner_knew_is_sent_again() {
+fn a_request_that_came_before_the_owner_was_ready_is_sent_again() {
     let mut front = front();
     front.handle(FrontInput::Request(1, Request::Submit(submit(7))));
     let again = front.handle(FrontInput::OwnerReady(0));
--- a/crates/decisions/tests/owner_regressions.rs
+++ b/crates/decisions/tests/owner_regressions.rs
@@ -1,4 +1,4 @@
-//! Faults of an owner's machine that were found and mended.
+//! Regression tests of the owner machine.
 
 use {
     chestnutrun_decisions::{
@@ -17,7 +17,7 @@
 
 const EPOCH: u64 = 2;
 
-/// An owner that took over from one with two agents.
+/// The new owner of a shard that has two agents with records of an earlier owner.
 struct Owner {
     now: Now,
     machine: OwnerMachine,
@@ -54,7 +54,8 @@
     Owner { now, machine }
 }
 
-/// The same owner, acknowledged by the voters of the earlier ownership.
+/// The owner of [`unacknowledged`], after the voters of the earlier ownership have
+/// acknowledged the new one.
 #[fixture]
 fn owner(mut unacknowledged: Owner) -> Owner {
     let at = Some(unacknowledged.now.instant);
@@ -68,13 +69,14 @@
         self.machine.handle(self.now, input)
     }
 
-    fn pass(&mut self, time: Duration) -> Vec<OwnerAction> {
+    fn advance(&mut self, time: Duration) -> Vec<OwnerAction> {
         self.now = self.now.later(time);
         self.handle(OwnerInput::Tick)
     }
 
-    /// Links a run of an agent that runs nothing and has records of `jobs`.
-    fn fence(&mut self, number: u16, run: u64, jobs: &[&JobRef]) -> Vec<OwnerAction> {
+    /// Links a run of an agent, fences it and gives it a lease. The agent runs no
+    /// tasks and has records of `jobs`.
+    fn link(&mut self, number: u16, run: u64, jobs: &[&JobRef]) -> Vec<OwnerAction> {
         let mut actions = self.handle(OwnerInput::AgentUp(hello(number, run)));
         let reply = FenceReply {
             shard: 0,
@@ -160,12 +162,16 @@
 #[rstest]
 fn nothing_starts_before_a_majority_knows_of_the_ownership(mut unacknowledged: Owner) {
     let owner = &mut unacknowledged;
-    owner.fence(0, 1, &[]);
-    owner.fence(1, 1, &[]);
+    owner.link(0, 1, &[]);
+    owner.link(1, 1, &[]);
     let submit = submission(owner.now, 1);
     owner.submit(submit);
-    let later = owner.pass(2 * LEASE);
-    assert_eq!(starts(&later), [], "others may vouch for the earlier owner");
+    let later = owner.advance(2 * LEASE);
+    assert_eq!(
+        starts(&later),
+        [],
+        "voters may still vote for the earlier owner"
+    );
     let at = Some(owner.now.instant);
     let known = OwnerInput::Acknowledged(at, KnownAgents::default());
     assert_eq!(starts(&owner.handle(known)).len(), 1);
@@ -173,49 +179,53 @@
 
 #[rstest]
 fn a_late_refusal_of_an_earlier_start_starts_nothing_again(mut owner: Owner) {
-    owner.fence(0, 1, &[]);
-    owner.fence(1, 1, &[]);
+    owner.link(0, 1, &[]);
+    owner.link(1, 1, &[]);
     let submit = submission(owner.now, 1);
     let first = starts(&owner.submit(submit)).remove(0);
     let refused = refusal(&first, StartRefusal::NoSlot);
     let endpoint = hello(0, 1).endpoint;
     let input = OwnerInput::StartRefused(endpoint.clone(), refused.clone());
     let second = starts(&owner.handle(input.clone()));
-    assert_eq!(second.len(), 1, "it goes to the other endpoint");
+    assert_eq!(second.len(), 1, "the task goes to the other endpoint");
     let again = owner.handle(OwnerInput::StartRefused(hello(1, 1).endpoint, refused));
-    assert_eq!(starts(&again), [], "the second start is still out");
+    assert_eq!(starts(&again), [], "the second start has no reply yet");
 }
 
 #[rstest]
-fn a_start_that_was_forgone_can_be_sent_again(mut owner: Owner) {
-    owner.fence(0, 1, &[]);
-    owner.pass(LEASE + CLOCK_DRIFT_MARGIN);
+fn a_voided_start_can_be_sent_again(mut owner: Owner) {
+    owner.link(0, 1, &[]);
+    owner.advance(LEASE + CLOCK_DRIFT_MARGIN);
     let mut submit = submission(owner.now, 1);
     submit.may_be_older = false;
     let first = starts(&owner.submit(submit)).remove(0);
     let endpoint = hello(0, 1).endpoint;
     owner.handle(OwnerInput::AgentDown(endpoint.clone(), 1));
-    owner.fence(0, 1, &[]);
-    let forgone = SentStart {
+    owner.link(0, 1, &[]);
+    let voided = SentStart {
         index: 0,
         attempt: first.attempt,
     };
     let reply = LookupReply {
         job: job(),
         records: Vec::new(),
-        forgone: vec![forgone],
+        forgone: vec![voided],
     };
     let actions = owner.handle(OwnerInput::LookupReply(endpoint.clone(), reply.clone()));
     let second = starts(&actions).remove(0);
     assert!(second.attempt > first.attempt);
     let again = owner.handle(OwnerInput::LookupReply(endpoint, reply));
-    assert_eq!(starts(&again), [], "a second answer about the first start");
+    assert_eq!(
+        starts(&again),
+        [],
+        "the second reply is about the first start"
+    );
 }
 
 #[rstest]
-fn the_output_of_another_body_answers_nobody(mut owner: Owner) {
-    owner.fence(0, 1, &[]);
-    owner.fence(1, 1, &[]);
+fn the_output_of_another_body_is_not_returned(mut owner: Owner) {
+    owner.link(0, 1, &[]);
+    owner.link(1, 1, &[]);
     let submit = submission(owner.now, 1);
     let start = starts(&owner.submit(submit)).remove(0);
     let finished = Finished {
@@ -237,8 +247,8 @@
 
 #[rstest]
 fn a_start_refused_for_its_body_is_not_sent_elsewhere(mut owner: Owner) {
-    owner.fence(0, 1, &[]);
-    owner.fence(1, 1, &[]);
+    owner.link(0, 1, &[]);
+    owner.link(1, 1, &[]);
     let submit = submission(owner.now, 1);
     let start = starts(&owner.submit(submit)).remove(0);
     let refused = refusal(&start, StartRefusal::KeyReused);
@@ -250,17 +260,17 @@
 }
 
 #[rstest]
-fn records_of_a_replaced_agent_are_not_asked_of_its_successor(mut owner: Owner) {
-    owner.fence(0, 1, &[&job()]);
-    owner.fence(1, 1, &[]);
-    owner.fence(0, 2, &[]);
+fn records_of_a_replaced_agent_are_not_requested_from_its_successor(mut owner: Owner) {
+    owner.link(0, 1, &[&job()]);
+    owner.link(1, 1, &[]);
+    owner.link(0, 2, &[]);
     let submit = submission(owner.now, 1);
     let mut actions = owner.submit(submit);
-    actions.extend(owner.pass(Duration::from_millis(50)));
+    actions.extend(owner.advance(Duration::from_millis(50)));
     assert_eq!(
         starts(&actions),
         [],
-        "it may have started under the first run"
+        "the task may have started under the first run"
     );
     let outcomes = match &replies(&actions)[..] {
         [Reply::Answered(answer)] => answer.tasks.clone(),
@@ -270,23 +280,23 @@
 }
 
 #[rstest]
-fn a_question_waits_for_the_records_of_every_agent(mut owner: Owner) {
-    owner.fence(0, 1, &[&job()]);
+fn a_query_waits_for_the_records_of_every_agent(mut owner: Owner) {
+    owner.link(0, 1, &[&job()]);
     let ask = Request::Ask(job());
     let asked = owner.handle(OwnerInput::Request("entry-1".into(), ask));
     assert_eq!(asked, [], "another agent may hold records");
     let submit = submission(owner.now, 2);
     owner.submit(submit);
-    let lookups = owner.fence(1, 1, &[&job()]);
+    let lookups = owner.link(1, 1, &[&job()]);
     let is_lookup =
         |action: &&OwnerAction| matches!(action, OwnerAction::Order(_, AgentOrder::Lookup(_)));
     assert_eq!(lookups.iter().filter(is_lookup).count(), 2);
 }
 
 #[rstest]
-fn a_question_is_answered_though_a_submission_has_another_body(mut owner: Owner) {
-    owner.fence(0, 1, &[&job()]);
-    owner.fence(1, 1, &[]);
+fn a_query_is_answered_though_a_submission_has_another_body(mut owner: Owner) {
+    owner.link(0, 1, &[&job()]);
+    owner.link(1, 1, &[]);
     let submit = submission(owner.now, 1);
     owner.submit(submit);
     let ask = Request::Ask(job());
@@ -328,7 +338,7 @@
         jobs: vec![job().key_hash()],
     };
     owner.handle(OwnerInput::FenceReply(hello(0, 1).endpoint, reply));
-    owner.fence(1, 1, &[&job()]);
+    owner.link(1, 1, &[&job()]);
     let submit = submission(owner.now, 1);
     owner.submit(submit);
     let read = |records| LookupReply {
@@ -338,16 +348,16 @@
     };
     let first = read(vec![record]);
     owner.handle(OwnerInput::LookupReply(hello(0, 1).endpoint, first));
-    owner.fence(0, 2, &[]);
+    owner.link(0, 2, &[]);
     let second = read(Vec::new());
     let actions = owner.handle(OwnerInput::LookupReply(hello(1, 1).endpoint, second));
     assert_eq!(replies(&actions).len(), 1, "the job does not wait for ever");
 }
 
 #[rstest]
-fn not_run_is_said_only_under_a_confirmed_ownership(mut owner: Owner) {
-    owner.fence(0, 1, &[]);
-    owner.fence(1, 1, &[]);
+fn not_run_is_replied_only_under_a_confirmed_ownership(mut owner: Owner) {
+    owner.link(0, 1, &[]);
+    owner.link(1, 1, &[]);
     let mut submit = submission(owner.now, 1);
     submit.spec.deadline = owner.now.wall;
     let at = owner.now.instant;
@@ -355,6 +365,6 @@
     let released = owner.handle(OwnerInput::Confirmed(at));
     assert!(matches!(replies(&released)[..], [Reply::Refused(_)]));
     submit.may_be_older = false;
-    let at_once = owner.submit(submit);
-    assert!(matches!(replies(&at_once)[..], [Reply::Refused(_)]));
+    let immediate = owner.submit(submit);
+    assert!(matches!(replies(&immediate)[..], [Reply::Refused(_)]));
 }
