--- a/crates/decisions/src/owner/owner_machine.rs
+++ b/crates/decisions/src/owner/owner_machine.rs
@@ -34,15 +34,18 @@
     pub(super) policy: Box<dyn Policy>,
     pub(super) takeover: Takeover,
     pub(super) jobs: IndexMap<JobRef, JobState>,
+    /// When to check whether a job's record can be dropped.
     pub(super) forget_queue: VecDeque<(Instant, JobRef)>,
     pub(super) endpoints: IndexMap<EndpointId, EndpointState>,
     pub(super) slots: Slots,
     pub(super) kind_failures: KindFailures,
     pub(super) recoveries: IndexMap<JobRef, Recovery>,
+    /// Requests that arrived before the takeover was complete.
     pub(super) held: Vec<HeldRequest>,
     pub(super) gate: ReplyGate,
     pub(super) leaving: bool,
     pub(super) actions: Vec<OwnerAction>,
+    /// Actions that do not pass the reply gate.
     pub(super) ungated_actions: Vec<OwnerAction>,
 }
 
