--- a/crates/decisions/src/owner/agent_reach.rs
+++ b/crates/decisions/src/owner/agent_stage.rs
@@ -3,7 +3,7 @@
 /// Stage of an agent's link to an owner, in ascending order: each stage requires
 /// the one before.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub enum AgentReach {
+pub enum AgentStage {
     /// No link is open.
     #[default]
     Disconnected,
--- a/crates/decisions/src/owner/agents.rs
+++ b/crates/decisions/src/owner/agents.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        owner::{AgentOrder, AgentReach, EndpointState, OwnerMachine},
+        owner::{AgentOrder, AgentStage, EndpointState, OwnerMachine},
         policy::SlotUse,
         timing::AGENT_LOST_AFTER,
     },
@@ -28,7 +28,7 @@
             .entry(endpoint.clone())
             .or_insert_with(|| EndpointState::new(hello.clone(), draining));
         state.hello = hello;
-        state.reach = AgentReach::Linked;
+        state.reach = AgentStage::Linked;
         state.lost_at = None;
         let fence = Fence {
             shard: self.conf.shard,
@@ -56,7 +56,7 @@
         if !state.is_same_run(run) {
             return;
         }
-        state.reach = AgentReach::Disconnected;
+        state.reach = AgentStage::Disconnected;
         state.lost_at = Some(now.instant + AGENT_LOST_AFTER);
         self.refresh_slots(now, endpoint);
     }
@@ -68,7 +68,7 @@
         let Some(state) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        state.reach = state.reach.max(AgentReach::Fenced);
+        state.reach = state.reach.max(AgentStage::Fenced);
         let run = (endpoint.clone(), state.hello.incarnation);
         self.takeover.add_job_list(&run, reply.jobs);
         self.reconcile(now, endpoint, &reply.running);
@@ -83,12 +83,12 @@
     /// agent refuses every start.
     pub(super) fn on_lease(&mut self, now: Now, endpoint: &EndpointId, leased: Option<Epoch>) {
         let reach = if leased == Some(self.conf.epoch) {
-            AgentReach::Leased
+            AgentStage::Leased
         } else {
-            AgentReach::Fenced
+            AgentStage::Fenced
         };
         if let Some(state) = self.endpoints.get_mut(endpoint)
-            && state.reach >= AgentReach::Fenced
+            && state.reach >= AgentStage::Fenced
         {
             state.reach = reach;
         }
@@ -197,7 +197,7 @@
         let Some(state) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        state.reach = AgentReach::Disconnected;
+        state.reach = AgentStage::Disconnected;
         state.lost_at = None;
         let run = (endpoint.clone(), state.hello.incarnation);
         let tasks: Vec<TaskRef> = state.started.iter().cloned().collect();
--- a/crates/decisions/src/owner/mod.rs
+++ b/crates/decisions/src/owner/mod.rs
@@ -2,7 +2,7 @@
 //! from earlier ownerships.
 
 mod admission;
-mod agent_reach;
+mod agent_stage;
 mod agents;
 mod endings;
 mod endpoint_state;
@@ -18,7 +18,7 @@
 mod takeover;
 
 pub use {
-    agent_reach::AgentReach,
+    agent_stage::AgentStage,
     endpoint_state::EndpointState,
     health::{Health, KindFailures},
     job_state::{JobState, TaskState},
--- a/crates/decisions/src/owner/recovering.rs
+++ b/crates/decisions/src/owner/recovering.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::owner::{
-        AgentOrder, AgentReach, AgentRun, OwnerMachine, Recovery, Request, admission::new_job,
+        AgentOrder, AgentRun, AgentStage, OwnerMachine, Recovery, Request, admission::new_job,
         requests::unavailable,
     },
     chestnutrun_types::{
@@ -58,13 +58,13 @@
     fn may_report(&self, (endpoint, run): &AgentRun) -> bool {
         let state = self.endpoints.get(endpoint);
         state.is_some_and(|s| {
-            s.is_same_run(*run) && (s.reach > AgentReach::Disconnected || s.lost_at.is_some())
+            s.is_same_run(*run) && (s.reach > AgentStage::Disconnected || s.lost_at.is_some())
         })
     }
 
     fn is_fenced(&self, (endpoint, run): &AgentRun) -> bool {
         let state = self.endpoints.get(endpoint);
-        state.is_some_and(|s| s.is_same_run(*run) && s.reach >= AgentReach::Fenced)
+        state.is_some_and(|s| s.is_same_run(*run) && s.reach >= AgentStage::Fenced)
     }
 
     fn look_up_job(&mut self, endpoint: &EndpointId, job: &JobRef) {
--- a/crates/entry/src/daemon/operators_side.rs
+++ b/crates/entry/src/daemon/operators_side.rs
@@ -9,7 +9,7 @@
         },
         problem::Problem,
     },
-    chestnutrun_decisions::owner::{AgentReach, OwnerMachine},
+    chestnutrun_decisions::owner::{AgentStage, OwnerMachine},
     chestnutrun_types::{Configuration, EndpointId, Now},
     indexmap::IndexMap,
     ntex::http::StatusCode,
@@ -141,9 +141,9 @@
             let slots = state.slots(now);
             json!({
                 "endpoint": endpoint,
-                "linked": state.reach >= AgentReach::Linked,
-                "fenced": state.reach >= AgentReach::Fenced,
-                "leased": state.reach == AgentReach::Leased,
+                "linked": state.reach >= AgentStage::Linked,
+                "fenced": state.reach >= AgentStage::Fenced,
+                "leased": state.reach == AgentStage::Leased,
                 "draining": state.draining,
                 "leaving": state.hello.leaving,
                 "slots": slots.total,
