--- a/crates/decisions/src/owner/agents.rs
+++ b/crates/decisions/src/owner/agents.rs
@@ -28,7 +28,7 @@
             .entry(endpoint.clone())
             .or_insert_with(|| EndpointState::new(hello.clone(), draining));
         state.hello = hello;
-        state.reach = AgentStage::Linked;
+        state.stage = AgentStage::Linked;
         state.lost_at = None;
         let fence = Fence {
             shard: self.conf.shard,
@@ -56,7 +56,7 @@
         if !state.is_same_run(run) {
             return;
         }
-        state.reach = AgentStage::Disconnected;
+        state.stage = AgentStage::Disconnected;
         state.lost_at = Some(now.instant + AGENT_LOST_AFTER);
         self.refresh_slots(now, endpoint);
     }
@@ -68,7 +68,7 @@
         let Some(state) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        state.reach = state.reach.max(AgentStage::Fenced);
+        state.stage = state.stage.max(AgentStage::Fenced);
         let run = (endpoint.clone(), state.hello.incarnation);
         self.takeover.add_job_list(&run, reply.jobs);
         self.reconcile(now, endpoint, &reply.running);
@@ -82,15 +82,15 @@
     /// Records whether an agent holds a lease of this ownership. Without one, the
     /// agent refuses every start.
     pub(super) fn on_lease(&mut self, now: Now, endpoint: &EndpointId, leased: Option<Epoch>) {
-        let reach = if leased == Some(self.conf.epoch) {
+        let stage = if leased == Some(self.conf.epoch) {
             AgentStage::Leased
         } else {
             AgentStage::Fenced
         };
         if let Some(state) = self.endpoints.get_mut(endpoint)
-            && state.reach >= AgentStage::Fenced
+            && state.stage >= AgentStage::Fenced
         {
-            state.reach = reach;
+            state.stage = stage;
         }
         self.refresh_slots(now, endpoint);
     }
@@ -197,7 +197,7 @@
         let Some(state) = self.endpoints.get_mut(endpoint) else {
             return;
         };
-        state.reach = AgentStage::Disconnected;
+        state.stage = AgentStage::Disconnected;
         state.lost_at = None;
         let run = (endpoint.clone(), state.hello.incarnation);
         let tasks: Vec<TaskRef> = state.started.iter().cloned().collect();
--- a/crates/decisions/src/owner/endpoint_state.rs
+++ b/crates/decisions/src/owner/endpoint_state.rs
@@ -16,7 +16,7 @@
     /// The newest announcement of the agent.
     pub hello: AgentHello,
     /// What the owner may do with the agent now.
-    pub reach: AgentStage,
+    pub stage: AgentStage,
     /// Whether operators drained the endpoint.
     pub draining: bool,
     /// When the owner gives up a disconnected agent; none while it is linked.
@@ -35,7 +35,7 @@
     pub fn new(hello: AgentHello, draining: bool) -> Self {
         Self {
             hello,
-            reach: AgentStage::Linked,
+            stage: AgentStage::Linked,
             draining,
             lost_at: None,
             retry_at: None,
@@ -53,7 +53,7 @@
     /// Returns the slots that the policy may use at the moment `at`.
     #[must_use]
     pub fn slots(&self, at: Instant) -> EndpointSlots {
-        let leased = self.reach == AgentStage::Leased;
+        let leased = self.stage == AgentStage::Leased;
         let accepting = !self.draining && !self.hello.leaving;
         let pause_is_over = self.retry_at.is_none_or(|retry_at| at >= retry_at);
         let allowed = self.health.allowed(at, self.hello.slots);
--- a/crates/decisions/src/owner/recovering.rs
+++ b/crates/decisions/src/owner/recovering.rs
@@ -58,13 +58,13 @@
     fn may_report(&self, (endpoint, run): &AgentRun) -> bool {
         let state = self.endpoints.get(endpoint);
         state.is_some_and(|s| {
-            s.is_same_run(*run) && (s.reach > AgentStage::Disconnected || s.lost_at.is_some())
+            s.is_same_run(*run) && (s.stage > AgentStage::Disconnected || s.lost_at.is_some())
         })
     }
 
     fn is_fenced(&self, (endpoint, run): &AgentRun) -> bool {
         let state = self.endpoints.get(endpoint);
-        state.is_some_and(|s| s.is_same_run(*run) && s.reach >= AgentStage::Fenced)
+        state.is_some_and(|s| s.is_same_run(*run) && s.stage >= AgentStage::Fenced)
     }
 
     fn look_up_job(&mut self, endpoint: &EndpointId, job: &JobRef) {
--- a/crates/entry/src/daemon/operators_side.rs
+++ b/crates/entry/src/daemon/operators_side.rs
@@ -141,9 +141,9 @@
             let slots = state.slots(now);
             json!({
                 "endpoint": endpoint,
-                "linked": state.reach >= AgentStage::Linked,
-                "fenced": state.reach >= AgentStage::Fenced,
-                "leased": state.reach == AgentStage::Leased,
+                "linked": state.stage >= AgentStage::Linked,
+                "fenced": state.stage >= AgentStage::Fenced,
+                "leased": state.stage == AgentStage::Leased,
                 "draining": state.draining,
                 "leaving": state.hello.leaving,
                 "slots": slots.total,
