--- a/crates/decisions/src/front/messages.rs
+++ b/crates/decisions/src/front/messages.rs
@@ -11,7 +11,7 @@
     /// Run a job.
     Submit(Submit),
     /// Return the answer of a job.
-    Ask(JobRef),
+    Query(JobRef),
     /// Return the answer of a job; while the job is open, return a receipt at once.
     State(JobRef),
     /// Cancel the tasks of a job that have not started.
--- a/crates/decisions/src/front/pending.rs
+++ b/crates/decisions/src/front/pending.rs
@@ -24,7 +24,7 @@
                 job: submit.job.clone(),
                 digest: Some(submit.digest),
             },
-            Request::Ask(job) | Request::State(job) | Request::Cancel(job) => Self {
+            Request::Query(job) | Request::State(job) | Request::Cancel(job) => Self {
                 job: job.clone(),
                 digest: None,
             },
@@ -53,7 +53,7 @@
             Request::Submit(submit) if submit.wants_receipt => Self::Receipt,
             Request::Submit(_) => Self::Answer,
             Request::State(_) => Self::Receipt,
-            Request::Ask(_) => Self::QueriedAnswer,
+            Request::Query(_) => Self::QueriedAnswer,
             Request::Cancel(_) => Self::Cancellation,
         }
     }
@@ -77,7 +77,7 @@
         if let Some(submit) = &self.submit {
             return vec![Request::Submit(submit.clone())];
         }
-        let mut requests = vec![Request::Ask(job.clone())];
+        let mut requests = vec![Request::Query(job.clone())];
         if self
             .waiters
             .values()
--- a/crates/decisions/tests/entry_regressions.rs
+++ b/crates/decisions/tests/entry_regressions.rs
@@ -165,7 +165,7 @@
 #[rstest]
 fn the_answer_of_another_body_goes_to_queries_only() {
     let mut front = front();
-    front.handle(FrontInput::Request(1, Request::Ask(job())));
+    front.handle(FrontInput::Request(1, Request::Query(job())));
     front.handle(FrontInput::Request(2, Request::Submit(submit(7))));
     let reply = Reply::Answered(JobAnswer::new([]));
     let input = FrontInput::Reply(JobReply {
@@ -215,7 +215,7 @@
         !front.waits_for(&answer),
         "the caller already has its receipt"
     );
-    front.handle(FrontInput::Request(2, Request::Ask(job())));
+    front.handle(FrontInput::Request(2, Request::Query(job())));
     assert!(front.waits_for(&answer), "the caller asks for the answer");
 }
 
--- a/crates/decisions/tests/fake_site/site.rs
+++ b/crates/decisions/tests/fake_site/site.rs
@@ -589,7 +589,7 @@
         let body = u16::from(self.chance(5));
         let digest = BodyDigest::from(job.key_hash()) * 2 + BodyDigest::from(body);
         let request = match self.rng.random_range(0..20) {
-            0 => Request::Ask(job.clone()),
+            0 => Request::Query(job.clone()),
             1 => Request::Cancel(job.clone()),
             _ => Request::Submit(self.new_submission(&job, digest, total)),
         };
--- a/crates/entry/src/callers/desk.rs
+++ b/crates/entry/src/callers/desk.rs
@@ -59,7 +59,7 @@
         job: JobRef,
         wait: Duration,
     ) -> Result<HttpResponse, Problem> {
-        let requests = (Request::Ask(job.clone()), Request::State(job.clone()));
+        let requests = (Request::Query(job.clone()), Request::State(job.clone()));
         self.reply_about(token, &job, requests, wait).await
     }
 
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -193,7 +193,7 @@
     fn entry_message(&mut self, entry: EntryId, message: Message) {
         match message {
             Message::Submit(submit) => self.take_request(entry, Request::Submit(submit)),
-            Message::Ask(job) => self.take_request(entry, Request::Ask(job)),
+            Message::Ask(job) => self.take_request(entry, Request::Query(job)),
             Message::Cancel(job) => self.take_request(entry, Request::Cancel(job)),
             Message::Reply(reply) => {
                 self.note_reply(&reply);
