--- a/crates/decisions/src/owner/request.rs
+++ b/crates/decisions/src/owner/request.rs
@@ -8,7 +8,7 @@
     /// Run a job.
     Submit(Submit),
     /// Return the answer of a job.
-    Ask(JobRef),
+    Query(JobRef),
     /// Cancel the tasks of a job that have not started.
     Cancel(JobRef),
 }
@@ -19,7 +19,7 @@
     pub fn job(&self) -> &JobRef {
         match self {
             Self::Submit(submit) => &submit.job,
-            Self::Ask(job) | Self::Cancel(job) => job,
+            Self::Query(job) | Self::Cancel(job) => job,
         }
     }
 
@@ -28,7 +28,7 @@
     pub fn digest(&self) -> Option<BodyDigest> {
         match self {
             Self::Submit(submit) => Some(submit.digest),
-            Self::Ask(_) | Self::Cancel(_) => None,
+            Self::Query(_) | Self::Cancel(_) => None,
         }
     }
 }
--- a/crates/decisions/src/owner/requests.rs
+++ b/crates/decisions/src/owner/requests.rs
@@ -24,7 +24,7 @@
         }
         match request {
             Request::Submit(submit) => self.submit(now, from, submit),
-            Request::Ask(job) => self.query(from, job),
+            Request::Query(job) => self.query(from, job),
             Request::Cancel(job) => self.cancel(now, from, job),
         }
     }
@@ -95,7 +95,7 @@
             return;
         }
         if let Some(recovery) = self.recoveries.get_mut(&job) {
-            recovery.hold(from, Request::Ask(job));
+            recovery.hold(from, Request::Query(job));
             return;
         }
         if let Some(runs) = self.takeover.runs_with_records(job.key_hash()).cloned() {
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -224,7 +224,7 @@
             Message::Submit(submit) => {
                 self.owner_request(now, entry, owner::Request::Submit(submit));
             }
-            Message::Ask(job) => self.owner_request(now, entry, owner::Request::Ask(job)),
+            Message::Ask(job) => self.owner_request(now, entry, owner::Request::Query(job)),
             Message::Cancel(job) => self.owner_request(now, entry, owner::Request::Cancel(job)),
             Message::Reply(reply) => self.front(now, FrontInput::Reply(reply)),
             Message::Owner(owner) => self.peer_message(now, entry, EntryMessage::Owner(owner)),
@@ -364,7 +364,7 @@
             let me = self.me.entry.clone();
             let request = match request {
                 Request::Submit(submit) => owner::Request::Submit(submit),
-                Request::Query(job) | Request::State(job) => owner::Request::Ask(job),
+                Request::Query(job) | Request::State(job) => owner::Request::Query(job),
                 Request::Cancel(job) => owner::Request::Cancel(job),
             };
             self.owner_request(now, me, request);
--- a/crates/decisions/tests/owner_regressions.rs
+++ b/crates/decisions/tests/owner_regressions.rs
@@ -282,7 +282,7 @@
 #[rstest]
 fn a_query_waits_for_the_records_of_every_agent(mut owner: Owner) {
     owner.link(0, 1, &[&job()]);
-    let ask = Request::Ask(job());
+    let ask = Request::Query(job());
     let asked = owner.handle(OwnerInput::Request("entry-1".into(), ask));
     assert_eq!(asked, [], "another agent may hold records");
     let submit = submission(owner.now, 2);
@@ -299,7 +299,7 @@
     owner.link(1, 1, &[]);
     let submit = submission(owner.now, 1);
     owner.submit(submit);
-    let ask = Request::Ask(job());
+    let ask = Request::Query(job());
     owner.handle(OwnerInput::Request("entry-1".into(), ask));
     let record = TaskRecord {
         task: job().task(0),
