--- a/crates/decisions/src/front/messages.rs
+++ b/crates/decisions/src/front/messages.rs
@@ -13,7 +13,7 @@
     /// Return the answer of a job.
     Query(JobRef),
     /// Return the answer of a job; while the job is open, return a receipt at once.
-    State(JobRef),
+    Status(JobRef),
     /// Cancel the tasks of a job that have not started.
     Cancel(JobRef),
 }
--- a/crates/decisions/src/front/pending.rs
+++ b/crates/decisions/src/front/pending.rs
@@ -24,7 +24,7 @@
                 job: submit.job.clone(),
                 digest: Some(submit.digest),
             },
-            Request::Query(job) | Request::State(job) | Request::Cancel(job) => Self {
+            Request::Query(job) | Request::Status(job) | Request::Cancel(job) => Self {
                 job: job.clone(),
                 digest: None,
             },
@@ -52,7 +52,7 @@
         match request {
             Request::Submit(submit) if submit.wants_receipt => Self::Receipt,
             Request::Submit(_) => Self::Answer,
-            Request::State(_) => Self::Receipt,
+            Request::Status(_) => Self::Receipt,
             Request::Query(_) => Self::QueriedAnswer,
             Request::Cancel(_) => Self::Cancellation,
         }
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -353,7 +353,7 @@
                 FrontAction::Send(entry, request) => {
                     let message = match request {
                         Request::Submit(submit) => Message::Submit(submit),
-                        Request::Query(job) | Request::State(job) => Message::Ask(job),
+                        Request::Query(job) | Request::Status(job) => Message::Ask(job),
                         Request::Cancel(job) => Message::Cancel(job),
                     };
                     self.send_entry(&entry, message);
@@ -364,7 +364,7 @@
             let me = self.me.entry.clone();
             let request = match request {
                 Request::Submit(submit) => owner::Request::Submit(submit),
-                Request::Query(job) | Request::State(job) => owner::Request::Query(job),
+                Request::Query(job) | Request::Status(job) => owner::Request::Query(job),
                 Request::Cancel(job) => owner::Request::Cancel(job),
             };
             self.owner_request(now, me, request);
--- a/crates/entry/src/callers/desk.rs
+++ b/crates/entry/src/callers/desk.rs
@@ -59,13 +59,13 @@
         job: JobRef,
         wait: Duration,
     ) -> Result<HttpResponse, Problem> {
-        let requests = (Request::Query(job.clone()), Request::State(job.clone()));
+        let requests = (Request::Query(job.clone()), Request::Status(job.clone()));
         self.reply_about(token, &job, requests, wait).await
     }
 
     /// Cancels what has not started and waits for the job's answer.
     pub(crate) async fn cancel(&self, token: &str, job: JobRef) -> Result<HttpResponse, Problem> {
-        let requests = (Request::Cancel(job.clone()), Request::State(job.clone()));
+        let requests = (Request::Cancel(job.clone()), Request::Status(job.clone()));
         let wait = self.limits.longest_wait;
         self.reply_about(token, &job, requests, wait).await
     }
--- a/crates/entry/src/daemon/callers_side.rs
+++ b/crates/entry/src/daemon/callers_side.rs
@@ -53,7 +53,7 @@
         }
         let message = match request {
             Request::Submit(submit) => Message::Submit(submit),
-            Request::Query(job) | Request::State(job) => Message::Ask(job),
+            Request::Query(job) | Request::Status(job) => Message::Ask(job),
             Request::Cancel(job) => Message::Cancel(job),
         };
         self.send_entry(&entry, message);
@@ -92,6 +92,6 @@
 fn job_of(request: &Request) -> &JobRef {
     match request {
         Request::Submit(submit) => &submit.job,
-        Request::Query(job) | Request::State(job) | Request::Cancel(job) => job,
+        Request::Query(job) | Request::Status(job) | Request::Cancel(job) => job,
     }
 }
--- a/crates/entry/src/daemon/shards_side.rs
+++ b/crates/entry/src/daemon/shards_side.rs
@@ -22,7 +22,7 @@
         };
         let request = match request {
             Request::Submit(submit) => owner::Request::Submit(submit),
-            Request::Query(job) | Request::State(job) => owner::Request::Query(job),
+            Request::Query(job) | Request::Status(job) => owner::Request::Query(job),
             Request::Cancel(job) => owner::Request::Cancel(job),
         };
         let shard = request.job().shard(shards);
