--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -60,7 +60,7 @@
         bench.machine.handle(now, acknowledged);
         bench
             .machine
-            .handle(now, OwnerInput::Confirmed(now.instant));
+            .handle(now, OwnerInput::OwnershipConfirmed(now.instant));
         for number in 0..endpoints {
             bench.link(number);
         }
@@ -99,7 +99,7 @@
         self.now = self.now.later(STEP);
         if self.submitted.is_multiple_of(CONFIRMED_EVERY) {
             self.machine
-                .handle(self.now, OwnerInput::Confirmed(self.now.instant));
+                .handle(self.now, OwnerInput::OwnershipConfirmed(self.now.instant));
         }
         let submit = self.submission();
         let input = OwnerInput::Request("entry-0".into(), Request::Submit(submit));
--- a/crates/bench/src/experiment/decisions_run.rs
+++ b/crates/bench/src/experiment/decisions_run.rs
@@ -100,7 +100,7 @@
     pub fn run(mut self) -> Measures {
         let acknowledged = OwnerInput::Acknowledged(Some(self.now.instant), no_agents());
         self.input(acknowledged);
-        self.input(OwnerInput::Confirmed(self.now.instant));
+        self.input(OwnerInput::OwnershipConfirmed(self.now.instant));
         for number in 0..self.conf.site.endpoints {
             self.link(number);
         }
@@ -138,7 +138,7 @@
                 self.end_next();
             } else {
                 next_tick += TICK;
-                self.input(OwnerInput::Confirmed(self.now.instant));
+                self.input(OwnerInput::OwnershipConfirmed(self.now.instant));
                 self.input(OwnerInput::Tick);
             }
         }
--- a/crates/decisions/src/owner/messages.rs
+++ b/crates/decisions/src/owner/messages.rs
@@ -15,7 +15,7 @@
     /// An entry sent a request.
     Request(EntryId, Request),
     /// The ownership was still in force at this moment or later.
-    Confirmed(Instant),
+    OwnershipConfirmed(Instant),
     /// Another entry acknowledged the ownership and reported the agents that it
     /// knows. The moment is set once enough entries have acknowledged.
     Acknowledged(Option<Instant>, KnownAgents),
--- a/crates/decisions/src/owner/owner_machine.rs
+++ b/crates/decisions/src/owner/owner_machine.rs
@@ -82,7 +82,7 @@
     pub fn handle(&mut self, now: Now, input: OwnerInput) -> Vec<OwnerAction> {
         match input {
             OwnerInput::Request(from, request) => self.on_request(now, from, request),
-            OwnerInput::Confirmed(at) => self.release_replies(at),
+            OwnerInput::OwnershipConfirmed(at) => self.release_replies(at),
             OwnerInput::Acknowledged(at, agents) => self.on_acknowledged(now, at, agents),
             OwnerInput::AgentUp(hello) => self.agent_up(now, hello),
             OwnerInput::AgentDown(endpoint, run) => self.agent_down(now, &endpoint, run),
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -270,7 +270,9 @@
             MembershipAction::Send(entry, message) => {
                 self.send_membership_message(&entry, message);
             }
-            MembershipAction::Owned { at, .. } => self.owner(now, OwnerInput::Confirmed(at)),
+            MembershipAction::Owned { at, .. } => {
+                self.owner(now, OwnerInput::OwnershipConfirmed(at));
+            }
             MembershipAction::Deposed(_) => self.owner = None,
             MembershipAction::OwnerIs(owner) => self.front(now, FrontInput::Owner(owner)),
             MembershipAction::OwnerReady(shard) => {
--- a/crates/decisions/tests/owner_regressions.rs
+++ b/crates/decisions/tests/owner_regressions.rs
@@ -236,7 +236,7 @@
     let input = OwnerInput::Finished(hello(0, 1).endpoint, finished);
     let at = owner.now.instant;
     let mut actions = owner.handle(input);
-    actions.extend(owner.handle(OwnerInput::Confirmed(at)));
+    actions.extend(owner.handle(OwnerInput::OwnershipConfirmed(at)));
     let outcomes = match &replies(&actions)[..] {
         [Reply::Answered(answer)] => answer.tasks.clone(),
         other => panic!("not one answer: {other:?}"),
@@ -254,7 +254,7 @@
     let refused = refusal(&start, StartRefusal::KeyReused);
     let at = owner.now.instant;
     let mut actions = owner.handle(OwnerInput::StartRefused(hello(0, 1).endpoint, refused));
-    actions.extend(owner.handle(OwnerInput::Confirmed(at)));
+    actions.extend(owner.handle(OwnerInput::OwnershipConfirmed(at)));
     assert_eq!(starts(&actions), []);
     assert!(matches!(replies(&actions)[..], [Reply::Answered(_)]));
 }
@@ -362,7 +362,7 @@
     submit.spec.deadline = owner.now.wall;
     let at = owner.now.instant;
     assert_eq!(replies(&owner.submit(submit.clone())), []);
-    let released = owner.handle(OwnerInput::Confirmed(at));
+    let released = owner.handle(OwnerInput::OwnershipConfirmed(at));
     assert!(matches!(replies(&released)[..], [Reply::Refused(_)]));
     submit.may_be_older = false;
     let immediate = owner.submit(submit);
--- a/crates/entry/src/daemon/table_side.rs
+++ b/crates/entry/src/daemon/table_side.rs
@@ -49,7 +49,7 @@
                 self.front_input(FrontInput::OwnerReady(shard));
             }
             MembershipAction::Owned { shard, at } => {
-                self.owner_input(shard, OwnerInput::Confirmed(at));
+                self.owner_input(shard, OwnerInput::OwnershipConfirmed(at));
             }
             MembershipAction::Deposed(shard) => self.depose(shard),
             MembershipAction::OwnerIs(owner) => self.front_input(FrontInput::Owner(owner)),
