--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -56,7 +56,7 @@
             submitted: 0,
             running: std::collections::VecDeque::new(),
         };
-        let acknowledged = OwnerInput::Acknowledged(Some(now.instant), no_agents());
+        let acknowledged = OwnerInput::OwnershipAcknowledged(Some(now.instant), no_agents());
         bench.machine.handle(now, acknowledged);
         bench
             .machine
--- a/crates/bench/src/experiment/decisions_run.rs
+++ b/crates/bench/src/experiment/decisions_run.rs
@@ -98,7 +98,7 @@
     /// Runs to the end and returns what was measured.
     #[must_use]
     pub fn run(mut self) -> Measures {
-        let acknowledged = OwnerInput::Acknowledged(Some(self.now.instant), no_agents());
+        let acknowledged = OwnerInput::OwnershipAcknowledged(Some(self.now.instant), no_agents());
         self.input(acknowledged);
         self.input(OwnerInput::OwnershipConfirmed(self.now.instant));
         for number in 0..self.conf.site.endpoints {
--- a/crates/decisions/src/owner/messages.rs
+++ b/crates/decisions/src/owner/messages.rs
@@ -18,7 +18,7 @@
     OwnershipConfirmed(Instant),
     /// Another entry acknowledged the ownership and reported the agents that it
     /// knows. The moment is set once enough entries have acknowledged.
-    Acknowledged(Option<Instant>, KnownAgents),
+    OwnershipAcknowledged(Option<Instant>, KnownAgents),
     /// An agent's link opened.
     AgentUp(AgentHello),
     /// An agent's link closed.
--- a/crates/decisions/src/owner/owner_machine.rs
+++ b/crates/decisions/src/owner/owner_machine.rs
@@ -83,7 +83,7 @@
         match input {
             OwnerInput::Request(from, request) => self.on_request(now, from, request),
             OwnerInput::OwnershipConfirmed(at) => self.release_replies(at),
-            OwnerInput::Acknowledged(at, agents) => self.on_acknowledged(now, at, agents),
+            OwnerInput::OwnershipAcknowledged(at, agents) => self.on_acknowledged(now, at, agents),
             OwnerInput::AgentUp(hello) => self.agent_up(now, hello),
             OwnerInput::AgentDown(endpoint, run) => self.agent_down(now, &endpoint, run),
             OwnerInput::FenceReply(endpoint, reply) => self.on_fence_reply(now, &endpoint, reply),
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -265,7 +265,7 @@
                 ..
             } => self.begin_ownership(now, epoch, Takeover::new(written_at, known)),
             MembershipAction::Acknowledged { at, agents, .. } => {
-                self.owner(now, OwnerInput::Acknowledged(at, agents));
+                self.owner(now, OwnerInput::OwnershipAcknowledged(at, agents));
             }
             MembershipAction::Send(entry, message) => {
                 self.send_membership_message(&entry, message);
--- a/crates/decisions/tests/owner_regressions.rs
+++ b/crates/decisions/tests/owner_regressions.rs
@@ -60,7 +60,7 @@
 fn owner(mut unacknowledged: Owner) -> Owner {
     let at = Some(unacknowledged.now.instant);
     let known = KnownAgents::default();
-    unacknowledged.handle(OwnerInput::Acknowledged(at, known));
+    unacknowledged.handle(OwnerInput::OwnershipAcknowledged(at, known));
     unacknowledged
 }
 
@@ -173,7 +173,7 @@
         "voters may still vote for the earlier owner"
     );
     let at = Some(owner.now.instant);
-    let known = OwnerInput::Acknowledged(at, KnownAgents::default());
+    let known = OwnerInput::OwnershipAcknowledged(at, KnownAgents::default());
     assert_eq!(starts(&owner.handle(known)).len(), 1);
 }
 
--- a/crates/entry/src/daemon/table_side.rs
+++ b/crates/entry/src/daemon/table_side.rs
@@ -42,7 +42,7 @@
                 known,
             } => self.own(shard, epoch, Takeover::new(written_at, known)),
             MembershipAction::Acknowledged { shard, at, agents } => {
-                self.owner_input(shard, OwnerInput::Acknowledged(at, agents));
+                self.owner_input(shard, OwnerInput::OwnershipAcknowledged(at, agents));
             }
             MembershipAction::Send(entry, message) => self.say(&entry, message),
             MembershipAction::OwnerReady(shard) => {
