--- a/crates/decisions/src/front/front_machine.rs
+++ b/crates/decisions/src/front/front_machine.rs
@@ -46,7 +46,7 @@
             FrontInput::Request(waiter, request) => self.request(waiter, request),
             FrontInput::Abandon(waiter) => self.abandon(waiter),
             FrontInput::Reply(reply) => self.reply(&reply),
-            FrontInput::Owner(owner) => self.set_owner(owner),
+            FrontInput::OwnerChanged(owner) => self.set_owner(owner),
             FrontInput::OwnerReady(shard) => self.resend(|of_shard| of_shard == shard),
             FrontInput::LinkUp(entry) => self.link_up(&entry),
             FrontInput::LinkDown(entry) => {
--- a/crates/decisions/src/front/messages.rs
+++ b/crates/decisions/src/front/messages.rs
@@ -28,7 +28,7 @@
     /// The owner of a shard replied.
     Reply(JobReply),
     /// A shard has a new owner.
-    Owner(ShardOwner),
+    OwnerChanged(ShardOwner),
     /// The owner of a shard accepts requests now. Requests that reached it before it
     /// knew of its ownership may have been dropped.
     OwnerReady(ShardId),
--- a/crates/decisions/tests/entry_regressions.rs
+++ b/crates/decisions/tests/entry_regressions.rs
@@ -158,7 +158,7 @@
         shards: 1,
     });
     front.handle(FrontInput::LinkUp("entry-0".into()));
-    front.handle(FrontInput::Owner(owner(1)));
+    front.handle(FrontInput::OwnerChanged(owner(1)));
     front
 }
 
@@ -181,7 +181,7 @@
 fn not_run_from_an_owner_whose_successor_has_the_submission_is_ignored() {
     let mut front = front();
     front.handle(FrontInput::Request(1, Request::Submit(submit(7))));
-    front.handle(FrontInput::Owner(owner(2)));
+    front.handle(FrontInput::OwnerChanged(owner(2)));
     let not_run = Reply::Answered(JobAnswer::new([TaskOutcome::Cancelled]));
     let reply_of = |epoch, reply: &Reply| {
         FrontInput::Reply(JobReply {
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -274,7 +274,7 @@
                 self.owner(now, OwnerInput::OwnershipConfirmed(at));
             }
             MembershipAction::Deposed(_) => self.owner = None,
-            MembershipAction::OwnerIs(owner) => self.front(now, FrontInput::Owner(owner)),
+            MembershipAction::OwnerIs(owner) => self.front(now, FrontInput::OwnerChanged(owner)),
             MembershipAction::OwnerReady(shard) => {
                 self.front(now, FrontInput::OwnerReady(shard));
             }
