--- a/crates/decisions/src/front/front_machine.rs
+++ b/crates/decisions/src/front/front_machine.rs
@@ -58,7 +58,7 @@
 
     /// Returns the number of pending requests; those that share a reply count once.
     #[must_use]
-    pub fn pending(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.pending.len()
     }
 
--- a/crates/entry/src/daemon/entry_daemon.rs
+++ b/crates/entry/src/daemon/entry_daemon.rs
@@ -131,7 +131,7 @@
         match self.stop_by {
             None => false,
             Some(stop_by) => {
-                let has_work = self.front.pending() > 0 || self.shards.has_open_jobs();
+                let has_work = self.front.pending_requests() > 0 || self.shards.has_open_jobs();
                 let is_free = !has_work && self.membership.has_left();
                 is_free || Instant::now() >= stop_by
             }
@@ -151,8 +151,8 @@
     }
 
     async fn close(self) {
-        if self.front.pending() > 0 {
-            log::warn!("{} jobs were cut off", self.front.pending());
+        if self.front.pending_requests() > 0 {
+            log::warn!("{} jobs were cut off", self.front.pending_requests());
         }
         sleep(LINGER).await;
         self.links.close();
--- a/crates/entry/src/daemon/observation.rs
+++ b/crates/entry/src/daemon/observation.rs
@@ -53,7 +53,8 @@
         let (agents, entries) = self.links.counts();
         self.metrics.set_links("agent", agents);
         self.metrics.set_links("entry", entries);
-        self.metrics.set_jobs("pending", self.front.pending());
+        self.metrics
+            .set_jobs("pending", self.front.pending_requests());
         let machines = || self.shards.iter();
         let recorded = machines().map(OwnerMachine::recorded_jobs).sum();
         self.metrics.set_jobs("recorded", recorded);
--- a/crates/entry/src/daemon/operators_side.rs
+++ b/crates/entry/src/daemon/operators_side.rs
@@ -120,7 +120,7 @@
             "configuration": self.configuration.as_ref().map(|c| c.revision),
             "agents": agents,
             "entries": entries,
-            "pending_jobs": self.front.pending(),
+            "pending_jobs": self.front.pending_requests(),
             "leaving": self.stop_by.is_some(),
             "owners": self.front.owners().collect::<Vec<_>>(),
             "shards": self.shards.iter().map(shard_status).collect::<Vec<_>>(),
