--- a/crates/decisions/src/front/front_machine.rs
+++ b/crates/decisions/src/front/front_machine.rs
@@ -64,7 +64,7 @@
 
     /// Whether a caller waits for this reply. No caller waits for a duplicate.
     #[must_use]
-    pub fn waits_for(&self, reply: &JobReply) -> bool {
+    pub fn has_waiter_for(&self, reply: &JobReply) -> bool {
         let has_waiters = |digest| {
             let key = PendingKey {
                 job: reply.job.clone(),
--- a/crates/decisions/tests/entry_regressions.rs
+++ b/crates/decisions/tests/entry_regressions.rs
@@ -212,11 +212,14 @@
     front.handle(FrontInput::Reply(reply_of(Reply::Accepted)));
     let answer = reply_of(Reply::Answered(JobAnswer::new([])));
     assert!(
-        !front.waits_for(&answer),
+        !front.has_waiter_for(&answer),
         "the caller already has its receipt"
     );
     front.handle(FrontInput::Request(2, Request::Query(job())));
-    assert!(front.waits_for(&answer), "the caller asks for the answer");
+    assert!(
+        front.has_waiter_for(&answer),
+        "the caller asks for the answer"
+    );
 }
 
 #[rstest]
--- a/crates/entry/src/daemon/observation.rs
+++ b/crates/entry/src/daemon/observation.rs
@@ -35,7 +35,7 @@
     /// A submission that was sent again is replied to twice; only the reply
     /// that someone waits for tells the caller anything.
     pub(super) fn note_reply(&mut self, told: &JobReply) {
-        if !self.front.waits_for(told) {
+        if !self.front.has_waiter_for(told) {
             return;
         }
         let (job, reply) = (&told.job, &told.reply);
