--- a/crates/decisions/src/owner/endings.rs
+++ b/crates/decisions/src/owner/endings.rs
@@ -71,9 +71,9 @@
         };
         match &finished.outcome {
             TaskOutcome::Completed(_) => {
-                state.health.succeeded();
+                state.health.record_success();
                 if let Some(task) = task {
-                    self.kind_failures.succeeded(contract, &task.kind);
+                    self.kind_failures.record_success(contract, &task.kind);
                 }
             }
             TaskOutcome::FailedWhileRunning(_) => {
--- a/crates/decisions/src/owner/health.rs
+++ b/crates/decisions/src/owner/health.rs
@@ -31,7 +31,7 @@
 
 impl Health {
     /// Records that a task completed, which ends any quarantine.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
@@ -72,7 +72,7 @@
 
 impl KindFailures {
     /// Records that a task of a kind completed.
-    pub fn succeeded(&mut self, contract: &ContractId, kind: &KindId) {
+    pub fn record_success(&mut self, contract: &ContractId, kind: &KindId) {
         if !self.failed_endpoints.is_empty() {
             self.failed_endpoints
                 .swap_remove(&(contract.clone(), kind.clone()));
--- a/crates/decisions/tests/health.rs
+++ b/crates/decisions/tests/health.rs
@@ -35,13 +35,13 @@
     let mut kinds = KindFailures::default();
     let mut health = Health::default();
     for _ in 0..3 {
-        kinds.succeeded(&"a".into(), &"check".into());
+        kinds.record_success(&"a".into(), &"check".into());
         assert!(kinds.failed(&"a".into(), &"check".into(), &endpoint(1)));
         health.failed(now);
     }
     assert_eq!(health.allowed(now, 8), 0);
     let later = now + Duration::from_secs(2);
     assert_eq!(health.allowed(later, 8), 1);
-    health.succeeded();
+    health.record_success();
     assert_eq!(health.allowed(later, 8), 8);
 }
