--- a/crates/decisions/src/owner/endings.rs
+++ b/crates/decisions/src/owner/endings.rs
@@ -77,10 +77,12 @@
                 }
             }
             TaskOutcome::FailedWhileRunning(_) => {
-                let is_endpoint_failure = task
-                    .is_none_or(|task| self.kind_failures.failed(contract, &task.kind, endpoint));
+                let is_endpoint_failure = task.is_none_or(|task| {
+                    self.kind_failures
+                        .record_failure(contract, &task.kind, endpoint)
+                });
                 if is_endpoint_failure {
-                    state.health.failed(now.instant);
+                    state.health.record_failure(now.instant);
                 }
             }
             _ => {}
--- a/crates/decisions/src/owner/health.rs
+++ b/crates/decisions/src/owner/health.rs
@@ -36,7 +36,7 @@
     }
 
     /// Records that a task failed at the moment `at`.
-    pub fn failed(&mut self, at: Instant) {
+    pub fn record_failure(&mut self, at: Instant) {
         self.failures += 1;
         let is_probe = self.quarantined_until.is_some();
         if self.failures >= FAILURES_BEFORE_QUARANTINE || is_probe {
@@ -83,7 +83,12 @@
     ///
     /// Returns whether the failure counts against the endpoint, which is so if
     /// the kind has failed nowhere else since it last completed.
-    pub fn failed(&mut self, contract: &ContractId, kind: &KindId, endpoint: &EndpointId) -> bool {
+    pub fn record_failure(
+        &mut self,
+        contract: &ContractId,
+        kind: &KindId,
+        endpoint: &EndpointId,
+    ) -> bool {
         if self.failed_endpoints.len() >= MAX_KINDS {
             self.failed_endpoints.swap_remove_index(0);
         }
--- a/crates/decisions/tests/health.rs
+++ b/crates/decisions/tests/health.rs
@@ -19,8 +19,8 @@
     for round in 0..100 {
         let number = round % 11;
         let of = endpoint(number);
-        if kinds.failed(&"a".into(), &"broken".into(), &of) {
-            endpoints[number as usize].failed(now);
+        if kinds.record_failure(&"a".into(), &"broken".into(), &of) {
+            endpoints[number as usize].record_failure(now);
         }
     }
     let aside = endpoints
@@ -36,8 +36,8 @@
     let mut health = Health::default();
     for _ in 0..3 {
         kinds.record_success(&"a".into(), &"check".into());
-        assert!(kinds.failed(&"a".into(), &"check".into(), &endpoint(1)));
-        health.failed(now);
+        assert!(kinds.record_failure(&"a".into(), &"check".into(), &endpoint(1)));
+        health.record_failure(now);
     }
     assert_eq!(health.allowed(now, 8), 0);
     let later = now + Duration::from_secs(2);
