--- a/crates/decisions/src/owner/endpoint_state.rs
+++ b/crates/decisions/src/owner/endpoint_state.rs
@@ -56,7 +56,7 @@
         let leased = self.stage == AgentStage::Leased;
         let accepting = !self.draining && !self.hello.leaving;
         let pause_is_over = self.retry_at.is_none_or(|retry_at| at >= retry_at);
-        let allowed = self.health.allowed(at, self.hello.slots);
+        let allowed = self.health.max_tasks(at, self.hello.slots);
         EndpointSlots {
             total: allowed,
             taken: u32::try_from(self.started.len()).unwrap_or(u32::MAX),
--- a/crates/decisions/src/owner/health.rs
+++ b/crates/decisions/src/owner/health.rs
@@ -55,7 +55,7 @@
 
     /// Returns how many tasks the endpoint may run at once, out of `slots`.
     #[must_use]
-    pub fn allowed(&self, at: Instant, slots: u32) -> u32 {
+    pub fn max_tasks(&self, at: Instant, slots: u32) -> u32 {
         match self.quarantined_until {
             None => slots,
             Some(until) if at < until => 0,
--- a/crates/decisions/tests/health.rs
+++ b/crates/decisions/tests/health.rs
@@ -25,7 +25,7 @@
     }
     let aside = endpoints
         .iter()
-        .filter(|health| health.allowed(now, 8) == 0);
+        .filter(|health| health.max_tasks(now, 8) == 0);
     assert!(aside.count() <= 1);
 }
 
@@ -39,9 +39,9 @@
         assert!(kinds.record_failure(&"a".into(), &"check".into(), &endpoint(1)));
         health.record_failure(now);
     }
-    assert_eq!(health.allowed(now, 8), 0);
+    assert_eq!(health.max_tasks(now, 8), 0);
     let later = now + Duration::from_secs(2);
-    assert_eq!(health.allowed(later, 8), 1);
+    assert_eq!(health.max_tasks(later, 8), 1);
     health.record_success();
-    assert_eq!(health.allowed(later, 8), 8);
+    assert_eq!(health.max_tasks(later, 8), 8);
 }
