--- a/crates/decisions/src/owner/agents.rs
+++ b/crates/decisions/src/owner/agents.rs
@@ -152,7 +152,7 @@
     }
 
     /// Requests the outcome of starts that the agent does not run, and voids
-    /// those that the agent has not received.
+    /// those of which the agent has no record.
     fn look_up_starts(&mut self, endpoint: &EndpointId, not_running: &[TaskRef]) {
         let mut by_job: IndexMap<JobRef, Vec<SentStart>> = IndexMap::new();
         for task in not_running {
--- a/crates/decisions/src/owner/endpoint_state.rs
+++ b/crates/decisions/src/owner/endpoint_state.rs
@@ -15,7 +15,7 @@
 pub struct EndpointState {
     /// The newest announcement of the agent.
     pub hello: AgentHello,
-    /// What the owner may do with the agent now.
+    /// Stage of the agent's link to the owner.
     pub stage: AgentStage,
     /// Whether operators drained the endpoint.
     pub draining: bool,
