--- a/crates/entry/src/daemon/observation.rs
+++ b/crates/entry/src/daemon/observation.rs
@@ -35,7 +35,7 @@
     /// A submission that was sent again is replied to twice; only the reply
     /// that someone waits for tells the caller anything.
     pub(super) fn note_reply(&mut self, told: &JobReply) {
-        if !self.front.waits_for(told) {
+        if !self.front.has_waiter_for(told) {
             return;
         }
         let (job, reply) = (&told.job, &told.reply);
@@ -53,7 +53,8 @@
         let (agents, entries) = self.links.counts();
         self.metrics.set_links("agent", agents);
         self.metrics.set_links("entry", entries);
-        self.metrics.set_jobs("pending", self.front.pending());
+        self.metrics
+            .set_jobs("pending", self.front.pending_requests());
         let machines = || self.shards.iter();
         let recorded = machines().map(OwnerMachine::recorded_jobs).sum();
         self.metrics.set_jobs("recorded", recorded);
--- a/crates/entry/src/daemon/table_side.rs
+++ b/crates/entry/src/daemon/table_side.rs
@@ -42,17 +42,17 @@
                 known,
             } => self.own(shard, epoch, Takeover::new(written_at, known)),
             MembershipAction::Acknowledged { shard, at, agents } => {
-                self.owner_input(shard, OwnerInput::Acknowledged(at, agents));
+                self.owner_input(shard, OwnerInput::OwnershipAcknowledged(at, agents));
             }
             MembershipAction::Send(entry, message) => self.say(&entry, message),
             MembershipAction::OwnerReady(shard) => {
                 self.front_input(FrontInput::OwnerReady(shard));
             }
             MembershipAction::Owned { shard, at } => {
-                self.owner_input(shard, OwnerInput::Confirmed(at));
+                self.owner_input(shard, OwnerInput::OwnershipConfirmed(at));
             }
             MembershipAction::Deposed(shard) => self.depose(shard),
-            MembershipAction::OwnerIs(owner) => self.front_input(FrontInput::Owner(owner)),
+            MembershipAction::OwnerIs(owner) => self.front_input(FrontInput::OwnerChanged(owner)),
             MembershipAction::Confirm(endpoint, confirmation) => {
                 self.send_agent(&endpoint, Message::Confirmation(confirmation));
             }
