--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision of the dispatcher, as state machines.
+//! The decisions of the dispatcher, as state machines without I/O.
 //!
-//! Each machine takes a clock reading and an input and returns actions. It
-//! reads no clock, opens no socket, encodes no message and draws no random
-//! number that it was not handed.
+//! Each machine takes a clock reading and an input and returns actions. A
+//! machine reads no clock, opens no socket and encodes no message; random
+//! numbers come only from a generator that the caller passes in.
 
 pub mod agent;
 pub mod front;
