--- a/crates/decisions/src/policy/contract_queue.rs
+++ b/crates/decisions/src/policy/contract_queue.rs
@@ -1,4 +1,4 @@
-//! Waiting tasks of one contract, and what it holds.
+//! Waiting tasks, running tasks and slot time of one contract.
 
 use {
     crate::policy::{
@@ -14,55 +14,55 @@
     },
 };
 
-/// Order of waiting tasks within a contract.
+/// Order of waiting tasks within a contract; the smallest key goes first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct QueueKey {
-    /// More urgent jobs first.
+    /// More urgent jobs go first.
     pub urgency: Reverse<u8>,
-    /// Tasks that were refused by an agent before their equals.
+    /// Then tasks go first that wait again because they did not start.
     pub retried: Reverse<bool>,
-    /// Then the earliest deadline.
+    /// Then the earliest deadline goes first.
     pub deadline: SystemTime,
-    /// Then the order of arrival.
+    /// Then tasks go in the order of arrival.
     pub arrival: u64,
 }
 
-/// Order of contracts that have a task to start.
+/// Order of contracts that may start a task; the smallest turn goes first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Turn {
-    /// Contracts within their share before those that borrow.
+    /// Whether the contract borrows; contracts within their share go first.
     pub borrows: bool,
-    /// Then more urgent contracts.
+    /// Then more urgent contracts go first.
     pub urgency: Reverse<u8>,
-    /// Then those that used the least slot time for their weight.
+    /// Then the contract goes first that used the least slot time for its weight.
     pub virtual_time: Duration,
-    /// Position of the contract.
+    /// Position of the contract in the map of contracts.
     pub contract: usize,
 }
 
 impl Turn {
-    /// Returns what goes before any fair share.
+    /// Returns the part of the order that takes precedence over fair shares.
     #[must_use]
     pub fn rank(&self) -> (bool, Reverse<u8>) {
         (self.borrows, self.urgency)
     }
 }
 
-/// Terms of a contract that the order depends on.
+/// Terms of a contract that the order of tasks depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
-    /// Most tasks that run at once within the share.
+    /// Most tasks that run at once without borrowing.
     pub in_flight_limit: usize,
-    /// Urgency against other contracts.
+    /// Urgency against other contracts; higher goes first.
     pub urgency: u8,
-    /// Share against contracts of the same urgency.
+    /// Weight against contracts of the same urgency; at least 1.
     pub weight: u32,
-    /// Whether idle slots may be used beyond the share.
+    /// Whether the contract may use idle slots beyond its limit.
     pub borrows: bool,
 }
 
 impl Terms {
-    /// Reads the terms of a contract.
+    /// Reads the terms from a contract's configuration.
     #[must_use]
     pub fn new(contract: &Contract) -> Self {
         Self {
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Returns the terms of a contract that is no longer configured: what it
-    /// had accepted still runs.
+    /// Returns the terms for a contract that is no longer configured: its admitted
+    /// tasks still run.
     #[must_use]
     pub fn unknown() -> Self {
         Self {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Waiting tasks of one contract, and what it holds.
+/// Waiting tasks, running tasks and slot time of one contract.
 #[derive(Debug)]
 pub struct ContractQueue {
     /// Terms in force.
@@ -95,12 +95,12 @@
     pub queues: PerClass<BTreeMap<QueueKey, Waiting>>,
     /// Tasks that hold slots.
     pub running: usize,
-    /// Tasks that gave their slots back, each second.
-    pub ends: DecayingRate,
-    /// Slot time used, divided by weight.
+    /// Rate of tasks that released their slots.
+    pub end_rate: DecayingRate,
+    /// Slot time used, divided by the contract's weight.
     pub virtual_time: Duration,
-    /// Turn under which the contract is listed, by class.
-    pub listed: PerClass<Option<Turn>>,
+    /// Turn that the policy's index holds for the contract, by class.
+    pub indexed: PerClass<Option<Turn>>,
 }
 
 impl ContractQueue {
@@ -111,9 +111,9 @@
             terms,
             queues: PerClass::default(),
             running: 0,
-            ends: DecayingRate::default(),
+            end_rate: DecayingRate::default(),
             virtual_time: Duration::ZERO,
-            listed: PerClass::default(),
+            indexed: PerClass::default(),
         }
     }
 
@@ -123,13 +123,14 @@
         self.queues.short.len() + self.queues.long.len()
     }
 
-    /// Whether a further task would be within the share.
+    /// Returns whether a further task would run without borrowing.
     #[must_use]
     pub fn is_within_share(&self) -> bool {
         self.running < self.terms.in_flight_limit
     }
 
-    /// Returns the turn of the contract's next task of a class.
+    /// Returns the turn of the contract's next task of a class; none if no task
+    /// may start.
     #[must_use]
     pub fn turn(&self, class: SizeClass, contract: usize) -> Option<Turn> {
         let borrows = !self.is_within_share();
--- a/crates/decisions/src/policy/endpoint_queues.rs
+++ b/crates/decisions/src/policy/endpoint_queues.rs
@@ -1,4 +1,5 @@
-//! A queue at each endpoint, chosen when a task arrives: two baselines.
+//! One queue for each endpoint, with a random or round-robin choice: two
+//! baselines for comparisons.
 
 use {
     crate::policy::{FirstCome, Policy, SlotUse, Slots, Waiting},
@@ -7,12 +8,12 @@
     rand::{RngExt, rngs::StdRng},
 };
 
-/// How an endpoint is chosen for a task that arrives.
+/// Chooses the endpoint of an arriving task.
 #[derive(Debug)]
 pub enum EndpointChoice {
-    /// Any of them, by a generator that was handed in.
+    /// A random endpoint, by the given generator.
     Random(Box<StdRng>),
-    /// One after the other; the number of the next.
+    /// One endpoint after the other; counts the choices.
     RoundRobin(usize),
 }
 
@@ -32,7 +33,8 @@
     }
 }
 
-/// Binds each task to one endpoint when it arrives.
+/// Binds each task to one endpoint; the task waits for a slot there, even if
+/// other endpoints have free slots.
 #[derive(Debug)]
 pub struct EndpointQueues {
     choice: EndpointChoice,
@@ -41,7 +43,7 @@
 }
 
 impl EndpointQueues {
-    /// Creates the policy.
+    /// Creates the policy with a way to choose endpoints.
     #[must_use]
     pub fn new(choice: EndpointChoice) -> Self {
         Self {
@@ -51,8 +53,8 @@
         }
     }
 
-    /// Binds the tasks that came since, and those whose endpoint is gone.
-    fn bind(&mut self, slots: &Slots) {
+    /// Binds new tasks, and those whose endpoint is no longer usable.
+    fn bind_tasks(&mut self, slots: &Slots) {
         let usable: Vec<&EndpointId> = slots
             .iter()
             .filter(|(_, slots)| slots.usable)
@@ -85,14 +87,14 @@
     }
 
     fn next(&mut self, _now: Now, slots: &Slots) -> Option<(Waiting, EndpointId)> {
-        self.bind(slots);
+        self.bind_tasks(slots);
         let bound = &self.bound;
-        let is_free = |waiting: &Waiting| {
+        let has_free_slot = |waiting: &Waiting| {
             let endpoint = bound.get(&waiting.task);
             let free = endpoint.and_then(|endpoint| slots.get(endpoint));
             free.is_some_and(|slots| slots.free() > 0)
         };
-        let waiting = self.tasks.take_first(is_free)?;
+        let waiting = self.tasks.start_first(has_free_slot)?;
         let endpoint = self.bound.swap_remove(&waiting.task)?;
         Some((waiting, endpoint))
     }
--- a/crates/decisions/src/policy/first_come.rs
+++ b/crates/decisions/src/policy/first_come.rs
@@ -1,4 +1,4 @@
-//! First come, first served: the baseline.
+//! First come, first served: the baseline for comparisons.
 
 use {
     crate::policy::{Policy, SlotUse, Slots, Waiting},
@@ -7,7 +7,7 @@
     std::collections::VecDeque,
 };
 
-/// Serves every contract from one queue, up to its limit.
+/// Serves all contracts from one queue, each up to its in-flight limit.
 #[derive(Debug, Default)]
 pub struct FirstCome {
     queue: VecDeque<Waiting>,
@@ -23,31 +23,31 @@
         self.running(contract) < limit
     }
 
-    /// Returns the tasks that wait, the first to go first.
+    /// Iterates over the waiting tasks in the order of the queue.
     pub fn iter(&self) -> impl Iterator<Item = &Waiting> {
         self.queue.iter()
     }
 
-    /// Starts the first task within its contract's limit that `may_start`
-    /// accepts.
-    pub fn take_first(&mut self, may_start: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
+    /// Takes the first task that is within its contract's limit and that
+    /// `may_start` accepts, and counts it as running.
+    pub fn start_first(&mut self, may_start: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
         let position = self.queue.iter().position(|waiting| {
             self.is_within_limit(&waiting.task.contract) && may_start(waiting)
         })?;
-        let waiting = self.take(position)?;
-        self.hold(&waiting.task);
+        let waiting = self.remove_at(position)?;
+        self.mark_running(&waiting.task);
         Some(waiting)
     }
 
-    fn take(&mut self, position: usize) -> Option<Waiting> {
+    fn remove_at(&mut self, position: usize) -> Option<Waiting> {
         let waiting = self.queue.remove(position)?;
-        lower(&mut self.waiting_by_contract, &waiting.task.contract);
+        decrement(&mut self.waiting_by_contract, &waiting.task.contract);
         Some(waiting)
     }
 
-    fn hold(&mut self, task: &TaskRef) {
+    fn mark_running(&mut self, task: &TaskRef) {
         if self.running.insert(task.clone()) {
-            raise(&mut self.running_by_contract, &task.contract);
+            increment(&mut self.running_by_contract, &task.contract);
         }
     }
 }
@@ -62,7 +62,7 @@
     }
 
     fn enqueue(&mut self, _now: Now, waiting: Waiting, retried: bool) {
-        raise(&mut self.waiting_by_contract, &waiting.task.contract);
+        increment(&mut self.waiting_by_contract, &waiting.task.contract);
         if retried {
             self.queue.push_front(waiting);
         } else {
@@ -75,22 +75,22 @@
             .queue
             .iter()
             .position(|waiting| waiting.task == *task)?;
-        self.take(position)
+        self.remove_at(position)
     }
 
     fn next(&mut self, _now: Now, slots: &Slots) -> Option<(Waiting, EndpointId)> {
         let endpoint = slots.emptiest()?.clone();
-        let waiting = self.take_first(|_| true)?;
+        let waiting = self.start_first(|_| true)?;
         Some((waiting, endpoint))
     }
 
     fn adopt(&mut self, _now: Now, task: &TaskRef) {
-        self.hold(task);
+        self.mark_running(task);
     }
 
     fn release(&mut self, _now: Now, task: &TaskRef, _slot_use: SlotUse) {
         if self.running.swap_remove(task) {
-            lower(&mut self.running_by_contract, &task.contract);
+            decrement(&mut self.running_by_contract, &task.contract);
         }
     }
 
@@ -115,17 +115,17 @@
             .partition(|waiting| waiting.deadline <= now.wall);
         self.queue = rest;
         for waiting in &late {
-            lower(&mut self.waiting_by_contract, &waiting.task.contract);
+            decrement(&mut self.waiting_by_contract, &waiting.task.contract);
         }
         late.into()
     }
 }
 
-fn raise(counts: &mut IndexMap<ContractId, usize>, contract: &ContractId) {
+fn increment(counts: &mut IndexMap<ContractId, usize>, contract: &ContractId) {
     *counts.entry(contract.clone()).or_default() += 1;
 }
 
-fn lower(counts: &mut IndexMap<ContractId, usize>, contract: &ContractId) {
+fn decrement(counts: &mut IndexMap<ContractId, usize>, contract: &ContractId) {
     if let Some(count) = counts.get_mut(contract) {
         *count = count.saturating_sub(1);
     }
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Which waiting task goes to which free slot.
+//! Scheduling policies: they choose which waiting task gets which free slot.
 
 mod contract_queue;
 mod decaying_rate;
--- a/crates/decisions/src/policy/policy_trait.rs
+++ b/crates/decisions/src/policy/policy_trait.rs
@@ -1,4 +1,4 @@
-//! The border between the owner and the choice of what runs next.
+//! The interface between a shard's owner and its scheduling policy.
 
 use {
     crate::policy::{Slots, Waiting},
@@ -6,38 +6,37 @@
     std::{fmt, time::Duration},
 };
 
-/// What became of a slot that a started task gave back.
+/// How a started task used the slot that it gave back.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SlotUse {
-    /// The task completed, so that its run time can be learned.
+    /// The task completed; the policy may learn its run time.
     Completed,
     /// The task ran and failed.
     Failed,
-    /// The task did not run, or its endpoint was lost.
+    /// The task did not run, or its endpoint was lost: nothing is charged.
     Unknown,
 }
 
 /// Chooses which waiting task goes to which free slot.
 pub trait Policy: fmt::Debug {
-    /// Takes a newer configuration.
+    /// Applies a newer configuration.
     fn configure(&mut self, configuration: &Configuration);
 
-    /// Takes a task that waits; `retried` puts it before its equals.
+    /// Adds a waiting task; with `retried`, the task goes before its equals.
     fn enqueue(&mut self, now: Now, waiting: Waiting, retried: bool);
 
-    /// Gives up a task that waits.
+    /// Removes and returns a waiting task, if it is known.
     fn remove(&mut self, task: &TaskRef) -> Option<Waiting>;
 
-    /// Takes the next task that may start now, with its endpoint.
+    /// Removes and returns the next task that may start now, with its endpoint.
     ///
-    /// The task counts as started from here on.
+    /// The policy counts the task as running until [`Policy::release`].
     fn next(&mut self, now: Now, slots: &Slots) -> Option<(Waiting, EndpointId)>;
 
-    /// Learns that a task holds a slot that this policy did not choose, after
-    /// a change of owner.
+    /// Counts a task as running that an earlier owner of the shard started.
     fn adopt(&mut self, now: Now, task: &TaskRef);
 
-    /// Learns that a started task gave its slot back.
+    /// Counts a running task's slot as free again.
     fn release(&mut self, now: Now, task: &TaskRef, slot_use: SlotUse);
 
     /// Returns how many tasks of a contract wait.
@@ -46,12 +45,12 @@
     /// Returns how many tasks of a contract hold slots.
     fn running(&self, contract: &ContractId) -> usize;
 
-    /// Returns how long a contract's tasks of now take to end at the present
-    /// rate, where that is known.
+    /// Returns how long a contract's waiting and running tasks take to end at the
+    /// present rate; none if the rate is unknown.
     fn drains_in(&self, _now: Now, _contract: &ContractId) -> Option<Duration> {
         None
     }
 
-    /// Takes every waiting task whose deadline passed.
+    /// Removes and returns every waiting task whose deadline passed.
     fn expire(&mut self, now: Now) -> Vec<Waiting>;
 }
--- a/crates/decisions/src/policy/run_times.rs
+++ b/crates/decisions/src/policy/run_times.rs
@@ -1,4 +1,4 @@
-//! Run times, learned by contract and kind.
+//! Run times that are learned by contract and kind of task.
 
 use {
     chestnutrun_types::{ContractId, KindId},
@@ -6,18 +6,17 @@
     std::time::Duration,
 };
 
-/// Newest run times of a kind that the estimate rests on.
+/// How many of the newest run times of a kind an estimate uses.
 const SAMPLES: usize = 15;
 
-/// Most kinds that are remembered.
+/// Most kinds whose run times are kept.
 const MAX_KINDS: usize = 10_000;
 
-/// Name of a kind within its contract.
+/// A kind of task, within its contract.
 type KindKey = (ContractId, KindId);
 
-/// Estimates run times as the median of the newest ones of the same kind.
-///
-/// A few stragglers among many tasks do not move a median.
+/// Estimates a run time as the median of the newest run times of its kind: a few
+/// stragglers do not move a median.
 #[derive(Debug, Default)]
 pub struct RunTimes {
     kinds: IndexMap<KindKey, Samples>,
@@ -31,8 +30,8 @@
 }
 
 impl RunTimes {
-    /// Returns the estimate of a kind, or what was declared where nothing is
-    /// known.
+    /// Returns the estimate for a kind, or the declared run time if no task of the
+    /// kind has run.
     #[must_use]
     pub fn estimate(
         &self,
@@ -40,13 +39,13 @@
         kind: &KindId,
         declared_run_time: Duration,
     ) -> Duration {
-        // Cloning two counted pointers is cheaper than a borrowed key type.
+        // Cloning two `Arc`s is cheaper than a borrowed key type.
         let key = (contract.clone(), kind.clone());
         let samples = self.kinds.get(&key);
         samples.map_or(declared_run_time, |samples| samples.median)
     }
 
-    /// Learns how long a task ran; returns the estimates before and after.
+    /// Adds a run time; returns the estimates before (none at first) and after.
     pub fn learn(
         &mut self,
         contract: &ContractId,
--- a/crates/decisions/src/policy/size_aware.rs
+++ b/crates/decisions/src/policy/size_aware.rs
@@ -1,4 +1,5 @@
-//! Short tasks before long ones, contracts by their shares: the default.
+//! The default policy: keeps slots for short tasks and shares slots fairly
+//! between contracts.
 
 use {
     crate::policy::{
@@ -17,21 +18,23 @@
     },
 };
 
-/// Standard deviations of the short load that its reserve has room for.
+/// How many standard deviations of the short load the reserve covers beyond the
+/// mean.
 const RESERVE_DEVIATIONS: f64 = 1.75;
 
-/// Largest part of the slots that the reserve keeps beyond the mean short load.
+/// Largest share of the slots that the reserve adds to the mean short load.
 const MAX_MARGIN: f64 = 0.045;
 
-/// Largest part of the slots that is reserved for short tasks.
+/// Largest share of the slots that is reserved for short tasks.
 const MAX_RESERVE: f64 = 0.75;
 
-/// Keeps a slot at hand for short tasks and shares slots between contracts.
+/// Keeps slots for short tasks and shares slots between contracts.
 ///
-/// Run times are learned by contract and kind. Long tasks start only where
-/// they leave the slots that the short load needs. Within a class contracts
-/// within their share go before those that borrow, then by urgency, then by
-/// weighted slot time; a contract's own tasks go by urgency and deadline.
+/// Run times are learned by contract and kind. A long task starts only if the
+/// slots that the short load needs stay free or in use by short tasks. Within a
+/// class, contracts within their limit go before those that borrow, then by
+/// urgency, then by weighted slot time; a contract's own tasks go by urgency and
+/// deadline.
 #[derive(Debug, Default)]
 pub struct SizeAware {
     contracts: IndexMap<ContractId, ContractQueue>,
@@ -42,9 +45,9 @@
     running_short: usize,
     started_short: VecDeque<(Instant, TaskRef)>,
     run_times: RunTimes,
-    /// Slots that arriving short tasks keep busy.
+    /// Mean number of slots that arriving short tasks need.
     short_load: DecayingRate,
-    served: IndexMap<u8, Duration>,
+    served_virtual_time: IndexMap<u8, Duration>,
     arrivals: u64,
 }
 
@@ -57,7 +60,7 @@
 }
 
 impl SizeAware {
-    fn position(&mut self, contract: &ContractId) -> usize {
+    fn contract_position(&mut self, contract: &ContractId) -> usize {
         if let Some(position) = self.contracts.get_index_of(contract) {
             return position;
         }
@@ -65,21 +68,21 @@
         self.contracts.insert_full(contract.clone(), queue).0
     }
 
-    /// Lists the contract anew after a change of what its turn depends on.
-    fn list(&mut self, position: usize) {
+    /// Updates a contract's turns in the index after a change of the contract.
+    fn update_turns(&mut self, position: usize) {
         let queue = &mut self.contracts[position];
         for class in [SizeClass::Short, SizeClass::Long] {
             let turn = queue.turn(class, position);
-            let listed = queue.listed.get_mut(class);
-            if *listed == turn {
+            let indexed = queue.indexed.get_mut(class);
+            if *indexed == turn {
                 continue;
             }
             let turns = self.turns.get_mut(class);
-            if let Some(old) = listed {
+            if let Some(old) = indexed {
                 turns.remove(old);
             }
             turns.extend(turn);
-            *listed = turn;
+            *indexed = turn;
         }
     }
 
@@ -89,7 +92,7 @@
             .estimate(contract, &waiting.kind, waiting.declared_run_time)
     }
 
-    /// Returns how many slots short tasks need at hand.
+    /// Returns how many slots to keep for short tasks: the mean load and a margin.
     fn reserve(&self, now: Now, slots: &Slots) -> f64 {
         let total = f64::from(slots.usable());
         let load = self.short_load.per_second(now.instant);
@@ -97,15 +100,15 @@
         (load + margin).min(MAX_RESERVE * total).round()
     }
 
-    /// Chooses the class of the next task.
+    /// Chooses the class of the next task; none if no task may start.
     fn next_class(&self, now: Now, slots: &Slots) -> Option<SizeClass> {
         let Some(long) = self.turns.long.first() else {
             return self.turns.short.first().map(|_| SizeClass::Short);
         };
         let reserve = self.reserve(now, slots);
         let running_short = u32::try_from(self.running_short).unwrap_or(u32::MAX);
-        let at_hand = f64::from(slots.free().saturating_add(running_short));
-        let may_start_long = at_hand >= reserve + 1.0;
+        let available = f64::from(slots.free().saturating_add(running_short));
+        let may_start_long = available >= reserve + 1.0;
         let Some(short) = self.turns.short.first() else {
             return may_start_long.then_some(SizeClass::Long);
         };
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Takes the first task of a contract's class out of its queue.
+    /// Removes and returns the first waiting task of a contract and class.
     fn pop(&mut self, position: usize, class: SizeClass) -> Option<Waiting> {
         let queue = &mut self.contracts[position];
         let (key, waiting) = queue.queues.get_mut(class).pop_first()?;
@@ -134,8 +137,8 @@
         Some(waiting)
     }
 
-    fn hold(&mut self, task: &TaskRef, running: Running) -> usize {
-        let position = self.position(&task.contract);
+    fn mark_running(&mut self, task: &TaskRef, running: Running) -> usize {
+        let position = self.contract_position(&task.contract);
         if running.class == SizeClass::Short {
             self.running_short += 1;
             self.started_short.push_back((running.since, task.clone()));
@@ -147,8 +150,8 @@
         position
     }
 
-    /// Counts short tasks that run too long as long ones.
-    fn move_outgrown(&mut self, now: Now) {
+    /// Counts tasks as long that started as short and exceeded the class.
+    fn reclassify_overruns(&mut self, now: Now) {
         while let Some((since, _)) = self.started_short.front() {
             if *since + SHORT_RUN_TIME >= now.instant {
                 return;
@@ -175,13 +178,13 @@
         let (before, after) = self.run_times.learn(contract, kind, run_time);
         let is_same_class = before.is_some_and(|b| SizeClass::of(b) == SizeClass::of(after));
         if !is_same_class {
-            self.sort_kind(contract, kind, SizeClass::of(after));
+            self.move_kind(contract, kind, SizeClass::of(after));
         }
     }
 
-    /// Moves a kind's waiting tasks to the queue of the class that was learned.
-    fn sort_kind(&mut self, contract: &ContractId, kind: &KindId, class: SizeClass) {
-        let position = self.position(contract);
+    /// Moves a kind's waiting tasks to the queue of the learned class.
+    fn move_kind(&mut self, contract: &ContractId, kind: &KindId, class: SizeClass) {
+        let position = self.contract_position(contract);
         let queues = &mut self.contracts[position].queues;
         let (from, to) = match class {
             SizeClass::Short => (&mut queues.long, &mut queues.short),
@@ -201,17 +204,17 @@
             }
             to.insert(key, waiting);
         }
-        self.list(position);
+        self.update_turns(position);
     }
 
-    /// Brings a contract that was idle up to the virtual time of its rivals,
-    /// so that idle time earns no credit.
-    fn wake(&mut self, position: usize) {
+    /// Raises the virtual time of a contract without waiting tasks to that of the
+    /// contracts of its urgency, so that idle time earns no credit.
+    fn catch_up_virtual_time(&mut self, position: usize) {
         let queue = &mut self.contracts[position];
         if queue.waiting() == 0 {
-            let served = self.served.get(&queue.terms.urgency);
-            let served = served.copied().unwrap_or_default();
-            queue.virtual_time = queue.virtual_time.max(served);
+            let served_virtual_time = self.served_virtual_time.get(&queue.terms.urgency);
+            let served_virtual_time = served_virtual_time.copied().unwrap_or_default();
+            queue.virtual_time = queue.virtual_time.max(served_virtual_time);
         }
     }
 }
@@ -222,19 +225,19 @@
             queue.terms = Terms::unknown();
         }
         for contract in configuration.contracts.values() {
-            let position = self.position(&contract.id);
+            let position = self.contract_position(&contract.id);
             self.contracts[position].terms = Terms::new(contract);
         }
         for position in 0..self.contracts.len() {
-            self.list(position);
+            self.update_turns(position);
         }
     }
 
     fn enqueue(&mut self, now: Now, waiting: Waiting, retried: bool) {
         let estimate = self.estimate(&waiting);
         let class = SizeClass::of(estimate);
-        let position = self.position(&waiting.task.contract);
-        self.wake(position);
+        let position = self.contract_position(&waiting.task.contract);
+        self.catch_up_virtual_time(position);
         let queue = &mut self.contracts[position];
         let in_flight = queue.running + queue.waiting();
         let is_within_share = in_flight < queue.terms.in_flight_limit;
@@ -253,7 +256,7 @@
             .insert((waiting.deadline, key.arrival), task.clone());
         self.waiting.insert(task, (key, class));
         queue.queues.get_mut(class).insert(key, waiting);
-        self.list(position);
+        self.update_turns(position);
     }
 
     fn remove(&mut self, task: &TaskRef) -> Option<Waiting> {
@@ -262,13 +265,13 @@
         let position = self.contracts.get_index_of(&task.contract)?;
         let queues = &mut self.contracts[position].queues;
         let waiting = queues.get_mut(class).remove(&key);
-        self.list(position);
+        self.update_turns(position);
         waiting
     }
 
     fn next(&mut self, now: Now, slots: &Slots) -> Option<(Waiting, EndpointId)> {
         let endpoint = slots.emptiest()?.clone();
-        self.move_outgrown(now);
+        self.reclassify_overruns(now);
         let class = self.next_class(now, slots)?;
         let position = self.turns.get(class).first()?.contract;
         let waiting = self.pop(position, class)?;
@@ -279,11 +282,12 @@
             since: now.instant,
             charged,
         };
-        self.hold(&waiting.task, running);
+        self.mark_running(&waiting.task, running);
         let queue = &mut self.contracts[position];
-        self.served.insert(queue.terms.urgency, queue.virtual_time);
+        self.served_virtual_time
+            .insert(queue.terms.urgency, queue.virtual_time);
         queue.virtual_time += charged / queue.terms.weight;
-        self.list(position);
+        self.update_turns(position);
         Some((waiting, endpoint))
     }
 
@@ -294,8 +298,8 @@
             since: now.instant,
             charged: Duration::ZERO,
         };
-        let position = self.hold(task, running);
-        self.list(position);
+        let position = self.mark_running(task, running);
+        self.update_turns(position);
     }
 
     fn release(&mut self, now: Now, task: &TaskRef, slot_use: SlotUse) {
@@ -306,10 +310,10 @@
             self.running_short -= 1;
         }
         let ran = now.instant.saturating_duration_since(running.since);
-        let position = self.position(&task.contract);
+        let position = self.contract_position(&task.contract);
         let queue = &mut self.contracts[position];
         queue.running = queue.running.saturating_sub(1);
-        queue.ends.add(now.instant, 1.0);
+        queue.end_rate.add(now.instant, 1.0);
         let charge = match slot_use {
             SlotUse::Completed | SlotUse::Failed => ran,
             SlotUse::Unknown => Duration::ZERO,
@@ -319,7 +323,7 @@
         if let Some(kind) = running.kind.filter(|_| slot_use == SlotUse::Completed) {
             self.learn(&task.contract, &kind, ran);
         }
-        self.list(position);
+        self.update_turns(position);
     }
 
     fn waiting(&self, contract: &ContractId) -> usize {
@@ -335,8 +339,8 @@
     fn drains_in(&self, now: Now, contract: &ContractId) -> Option<Duration> {
         let queue = self.contracts.get(contract)?;
         let tasks = u32::try_from(queue.waiting() + queue.running).ok()?;
-        let a_second = queue.ends.per_second(now.instant);
-        Duration::try_from_secs_f64(f64::from(tasks) / a_second).ok()
+        let ends_per_second = queue.end_rate.per_second(now.instant);
+        Duration::try_from_secs_f64(f64::from(tasks) / ends_per_second).ok()
     }
 
     fn expire(&mut self, now: Now) -> Vec<Waiting> {
--- a/crates/decisions/src/policy/size_class.rs
+++ b/crates/decisions/src/policy/size_class.rs
@@ -1,16 +1,16 @@
-//! Classes of tasks by their run time.
+//! Classes of tasks by run time.
 
 use std::time::Duration;
 
 /// Longest run time of the short class.
 pub const SHORT_RUN_TIME: Duration = Duration::from_millis(500);
 
-/// Class of a task by its run time.
+/// Class of a task by run time.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum SizeClass {
     /// At most [`SHORT_RUN_TIME`].
     Short,
-    /// Longer than that.
+    /// More than [`SHORT_RUN_TIME`].
     Long,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the value of a class, to change it.
+    /// Returns a mutable reference to the value of a class.
     pub fn get_mut(&mut self, class: SizeClass) -> &mut T {
         match class {
             SizeClass::Short => &mut self.short,
--- a/crates/decisions/src/policy/slots.rs
+++ b/crates/decisions/src/policy/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of a shard's endpoints, as its owner knows them.
+//! An owner's view of the slots of its shard's endpoints.
 
 use {
     chestnutrun_types::EndpointId,
@@ -9,18 +9,18 @@
 /// Slots of one endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct EndpointSlots {
-    /// How many slots it has.
+    /// How many slots the endpoint has.
     pub total: u32,
-    /// How many of them hold a task.
+    /// How many of the slots hold a task.
     pub taken: u32,
-    /// Whether it may get new work.
+    /// Whether the endpoint may get new tasks.
     pub usable: bool,
-    /// Whether its last task failed.
+    /// Whether recent tasks failed there, so that other endpoints go first.
     pub suspect: bool,
 }
 
 impl EndpointSlots {
-    /// Returns how many tasks it may get now.
+    /// Returns how many tasks the endpoint may get now.
     #[must_use]
     pub fn free(&self) -> u32 {
         if self.usable {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Order in which endpoints get work: the last goes first.
+/// Order in which endpoints get tasks; the greatest rank goes first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Rank {
     is_sound: bool,
@@ -43,7 +43,7 @@
     position: Reverse<usize>,
 }
 
-/// Slots of every endpoint of a shard, indexed by what is free.
+/// Slots of a shard's endpoints, ordered by how many are free.
 #[derive(Clone, Debug, Default)]
 pub struct Slots {
     endpoints: IndexMap<EndpointId, EndpointSlots>,
@@ -53,7 +53,7 @@
 }
 
 impl Slots {
-    /// Sets the slots of one endpoint.
+    /// Adds an endpoint or replaces its slots.
     pub fn set(&mut self, endpoint: &EndpointId, slots: EndpointSlots) {
         let (position, old) = self.endpoints.insert_full(endpoint.clone(), slots);
         let old = old.unwrap_or_default();
@@ -70,31 +70,33 @@
         self.free = self.free - old.free() + slots.free();
     }
 
-    /// Returns the slots of one endpoint.
+    /// Returns the slots of an endpoint, if it is known.
     #[must_use]
     pub fn get(&self, endpoint: &EndpointId) -> Option<&EndpointSlots> {
         self.endpoints.get(endpoint)
     }
 
-    /// Returns the slots of each endpoint.
+    /// Iterates over the endpoints in the order in which they were added.
     pub fn iter(&self) -> impl Iterator<Item = (&EndpointId, &EndpointSlots)> {
         self.endpoints.iter()
     }
 
-    /// Returns how many slots usable endpoints have.
+    /// Returns the total of the usable endpoints' slots.
     #[must_use]
     pub fn usable(&self) -> u32 {
         self.usable
     }
 
-    /// Returns how many slots of usable endpoints are free.
+    /// Returns the total of the usable endpoints' free slots.
     #[must_use]
     pub fn free(&self) -> u32 {
         self.free
     }
 
-    /// Returns the endpoint with the most free slots, those that do not fail
-    /// first, the first of equals.
+    /// Returns the endpoint for the next task; none if no slot is free.
+    ///
+    /// Suspect endpoints come last; then the most free slots decide, and among
+    /// equals the endpoint that was added first.
     #[must_use]
     pub fn emptiest(&self) -> Option<&EndpointId> {
         let Reverse(position) = self.ranks.last()?.position;
--- a/crates/decisions/src/policy/static_shares.rs
+++ b/crates/decisions/src/policy/static_shares.rs
@@ -1,4 +1,4 @@
-//! A fixed part of the slots for each contract: a baseline.
+//! A fixed share of the slots for each contract: a baseline for comparisons.
 
 use {
     crate::policy::{FirstCome, Policy, SlotUse, Slots, Waiting},
@@ -6,7 +6,8 @@
     indexmap::IndexMap,
 };
 
-/// Gives each contract the part of the slots that its weight has of all.
+/// Gives each contract a share of the slots in proportion to its weight, and at
+/// least one slot.
 #[derive(Debug, Default)]
 pub struct StaticShares {
     tasks: FirstCome,
@@ -15,9 +16,9 @@
 
 impl StaticShares {
     fn share(&self, contract: &ContractId, slots: &Slots) -> usize {
-        let all: u32 = self.weights.values().sum();
+        let total_weight: u32 = self.weights.values().sum();
         let weight = self.weights.get(contract).copied().unwrap_or_default();
-        let share = slots.usable() * weight / all.max(1);
+        let share = slots.usable() * weight / total_weight.max(1);
         share.max(1) as usize
     }
 }
@@ -51,7 +52,7 @@
             })
             .collect();
         let may_start = |waiting: &Waiting| has_room.get(&waiting.task.contract) == Some(&true);
-        let waiting = self.tasks.take_first(may_start)?;
+        let waiting = self.tasks.start_first(may_start)?;
         Some((waiting, endpoint))
     }
 
--- a/crates/decisions/src/policy/waiting.rs
+++ b/crates/decisions/src/policy/waiting.rs
@@ -10,14 +10,14 @@
 pub struct Waiting {
     /// The task.
     pub task: TaskRef,
-    /// Its kind.
+    /// Kind of the task, by which run times are learned.
     pub kind: KindId,
     /// Run time that the caller expects.
     pub declared_run_time: Duration,
-    /// Urgency within its contract; higher goes first.
+    /// Urgency of the job within its contract; higher goes first.
     pub urgency: u8,
-    /// When it was admitted.
+    /// When the owner admitted the job, or queued the task again.
     pub since: Instant,
-    /// Moment after which it must not start.
+    /// Moment after which the task must not start.
     pub deadline: SystemTime,
 }
