--- a/crates/decisions/tests/best_effort_orders.rs
+++ b/crates/decisions/tests/best_effort_orders.rs
@@ -1,35 +1,36 @@
-//! Seeded orders of messages and faults against dispatchers and guards.
-//! `CHESTNUTRUN_SEEDS` sets how many seeds run; `CHESTNUTRUN_SEED` runs a
-//! single one.
+//! Dispatchers and guards under seeded random orders of messages and faults.
+//!
+//! `CHESTNUTRUN_SEEDS` sets how many seeds run, from `CHESTNUTRUN_FIRST_SEED`
+//! on; `CHESTNUTRUN_SEED` runs a single seed.
 
 mod best_effort_site;
 
 use {best_effort_site::Site, std::env};
 
-/// Seeds that run where nothing else is asked for.
+/// How many seeds run by default.
 const SEEDS: u64 = 200;
 
-/// Seeds that failed once: an assignment on a link that the agent had not
-/// accounted for yet (2571), ends of an entry's earlier run, which counted its
-/// assignments anew (30503), and a late start at an incarnation that had not
-/// announced itself (1000122).
+/// Seeds that failed once: an assignment on a link before the agent had sent its
+/// resync there (2571); ends from an earlier run of the entry, whose assignment
+/// numbers began anew (30503); a late start order at an incarnation of the
+/// endpoint that had not announced itself (1000122).
 const REGRESSIONS: [u64; 3] = [2_571, 30_503, 1_000_122];
 
-/// How long load and faults go on, in milliseconds.
+/// How long jobs are submitted and faults injected, in milliseconds.
 const FAULTS: u64 = 8_000;
 
-/// How long jobs may take to end after the faults, in milliseconds: what a
-/// caller waits, the longest late order, and a lease.
+/// Time for jobs to end after the last fault, in milliseconds: the caller's
+/// timeout, the longest delay of an order, and a lease.
 const SETTLED_WITHIN: u64 = 12_000;
 
 #[test]
 fn never_twice_at_a_time_and_always_answered_under_faults() {
-    if let Some(seed) = read("CHESTNUTRUN_SEED") {
+    if let Some(seed) = read_env("CHESTNUTRUN_SEED") {
         run(seed);
         return;
     }
-    let first = read("CHESTNUTRUN_FIRST_SEED").unwrap_or(1);
-    let seeds = read("CHESTNUTRUN_SEEDS").unwrap_or(SEEDS);
+    let first = read_env("CHESTNUTRUN_FIRST_SEED").unwrap_or(1);
+    let seeds = read_env("CHESTNUTRUN_SEEDS").unwrap_or(SEEDS);
     for seed in REGRESSIONS.into_iter().chain(first..first + seeds) {
         let outcome = std::panic::catch_unwind(|| run(seed));
         assert!(outcome.is_ok(), "seed {seed} failed");
@@ -54,6 +55,6 @@
     );
 }
 
-fn read(name: &str) -> Option<u64> {
+fn read_env(name: &str) -> Option<u64> {
     env::var(name).ok()?.parse().ok()
 }
--- a/crates/decisions/tests/best_effort_site/endpoint.rs
+++ b/crates/decisions/tests/best_effort_site/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that takes orders under leases and fencing tokens.
+//! A simulated endpoint that checks leases and fencing tokens.
 
 use {
     super::{Millis, judge::Judge},
@@ -11,14 +11,16 @@
     std::time::Duration,
 };
 
-/// Longest lease that an endpoint grants.
+/// Longest lease that an endpoint grants, in milliseconds.
 const LONGEST_LEASE: Millis = 1_000;
 
-/// Processor of an endpoint and of a task, in thousandths of a core.
+/// CPU of an endpoint, in thousandths of a core.
 const CPU: u32 = 8_000;
+
+/// CPU demand of a task, in thousandths of a core.
 pub const TASK_CPU: u32 = 1_000;
 
-/// One run.
+/// A run that has not ended.
 #[derive(Clone, Debug)]
 struct Running {
     task: TaskId,
@@ -27,7 +29,7 @@
     stops_at: Option<Millis>,
 }
 
-/// An endpoint that takes orders under leases and fencing tokens.
+/// A simulated endpoint that checks leases and fencing tokens.
 #[derive(Debug)]
 pub struct FakeEndpoint {
     number: usize,
@@ -36,10 +38,10 @@
     pub is_leaving: bool,
     pub fails_until: Millis,
     pub stalls_until: Millis,
-    born: Millis,
+    started_at: Millis,
     sequence: u64,
     token: FencingToken,
-    until: Millis,
+    lease_until: Millis,
     runs: IndexMap<u64, Running>,
     floors: IndexMap<TaskId, u64>,
     ends: Vec<ListedEnd>,
@@ -54,17 +56,17 @@
             is_leaving: false,
             fails_until: 0,
             stalls_until: 0,
-            born: 0,
+            started_at: 0,
             sequence: 0,
             token: 0,
-            until: 0,
+            lease_until: 0,
             runs: IndexMap::new(),
             floors: IndexMap::new(),
             ends: Vec::new(),
         }
     }
 
-    /// Ends the process; what runs is gone.
+    /// Ends the process and all its runs.
     pub fn crash(&mut self, judge: &mut Judge) {
         for (run, running) in std::mem::take(&mut self.runs) {
             judge.ended(&running.task, self.number, run, false);
@@ -75,7 +77,7 @@
     pub fn restart(&mut self, at: Millis) {
         *self = Self {
             incarnation: self.incarnation + 1,
-            born: at,
+            started_at: at,
             ..Self::new(self.number)
         };
     }
@@ -101,20 +103,20 @@
         }
     }
 
-    /// Lets what is due happen.
+    /// Ends the runs that are due: by lease, stop order or completion.
     pub fn advance(&mut self, at: Millis, judge: &mut Judge) {
         let clock = self.clock(at);
-        let is_lapsed = self.until <= clock;
+        let is_lapsed = self.lease_until <= clock;
         let is_stalled = at < self.stalls_until;
-        let does_fail = at < self.fails_until;
-        let mut over = Vec::new();
+        let is_failing = at < self.fails_until;
+        let mut ended = Vec::new();
         for (run, running) in &self.runs {
             let how = if is_lapsed {
                 RunEnd::Lapsed
             } else if running.stops_at.is_some_and(|stops_at| stops_at <= at) {
                 RunEnd::Stopped
             } else if !is_stalled && running.began + running.work <= at {
-                if does_fail {
+                if is_failing {
                     RunEnd::Failed
                 } else {
                     RunEnd::Done
@@ -122,14 +124,14 @@
             } else {
                 continue;
             };
-            over.push((*run, how));
+            ended.push((*run, how));
         }
-        for (run, how) in over {
-            self.end(run, how, judge);
+        for (run, how) in ended {
+            self.end_run(run, how, judge);
         }
     }
 
-    fn end(&mut self, run: u64, how: RunEnd, judge: &mut Judge) {
+    fn end_run(&mut self, run: u64, how: RunEnd, judge: &mut Judge) {
         let Some(running) = self.runs.shift_remove(&run) else {
             return;
         };
@@ -153,14 +155,14 @@
         judge: &mut Judge,
     ) -> Answer<()> {
         self.advance(at, judge);
-        if let Some(fault) = self.check(order.token) {
+        if let Some(fault) = self.check_token(order.token) {
             return self.refused(at, fault);
         }
         let until = u64::try_from(order.until.as_millis()).unwrap();
         if until <= self.clock(at) {
             return self.refused(at, OrderFault::LeaseOver);
         }
-        self.renew(at, until);
+        self.renew_lease(at, until);
         if self
             .floors
             .get(&order.task)
@@ -194,7 +196,7 @@
         judge: &mut Judge,
     ) -> Answer<()> {
         self.advance(at, judge);
-        if let Some(fault) = self.check(order.token) {
+        if let Some(fault) = self.check_token(order.token) {
             return self.refused(at, fault);
         }
         let floor = self.floors.entry(order.task.clone()).or_default();
@@ -207,17 +209,18 @@
 
     pub fn list(&mut self, at: Millis, order: &ListOrder, judge: &mut Judge) -> Answer<ListReply> {
         self.advance(at, judge);
-        if let Some(fault) = self.check(order.token) {
+        if let Some(fault) = self.check_token(order.token) {
             return match self.refused(at, fault) {
                 Answer::Refused(clock, fault) => Answer::Refused(clock, fault),
                 Answer::Done(..) | Answer::Unknown => Answer::Unknown,
             };
         }
         if let Some(until) = order.until {
-            self.renew(at, u64::try_from(until.as_millis()).unwrap());
+            self.renew_lease(at, u64::try_from(until.as_millis()).unwrap());
         }
         if order.incarnation != self.incarnation {
-            // The agent compares the time of birth that a list carries.
+            // A real list carries the start time of the endpoint, which the agent
+            // compares; this refusal stands for its check.
             return Answer::Refused(None, OrderFault::OtherIncarnation);
         }
         let running = self.runs.iter().map(|(run, running)| ListedRun {
@@ -235,7 +238,7 @@
         self.done(at, ListReply { running, ended })
     }
 
-    /// Whether an order that waits for ends would be answered now.
+    /// Returns whether a list order that waits for ended runs has an answer now.
     pub fn has_ends(&self, order: &ListOrder) -> bool {
         self.ends.iter().any(|end| end.number > order.seen)
     }
@@ -248,9 +251,10 @@
         u32::try_from(share.min(99)).unwrap()
     }
 
-    /// Orders name the endpoint by its id, which it keeps when it starts again,
-    /// so that those for an earlier incarnation are carried out.
-    fn check(&mut self, token: FencingToken) -> Option<OrderFault> {
+    /// Checks the fencing token. The incarnation is not checked: orders name the
+    /// endpoint by an id that survives a restart, so that orders to an earlier
+    /// incarnation are carried out.
+    fn check_token(&mut self, token: FencingToken) -> Option<OrderFault> {
         if token < self.token {
             return Some(OrderFault::StaleToken);
         }
@@ -258,9 +262,9 @@
         None
     }
 
-    fn renew(&mut self, at: Millis, until: Millis) {
+    fn renew_lease(&mut self, at: Millis, until: Millis) {
         let longest = self.clock(at) + LONGEST_LEASE;
-        self.until = self.until.max(until.min(longest));
+        self.lease_until = self.lease_until.max(until.min(longest));
     }
 
     fn done<T>(&self, at: Millis, value: T) -> Answer<T> {
@@ -271,9 +275,9 @@
         Answer::Refused(Some(Duration::from_millis(self.clock(at))), fault)
     }
 
-    /// The clock is 2% slow at every second endpoint.
+    /// Returns the endpoint's own clock, which is 2% slow at every second endpoint.
     fn clock(&self, at: Millis) -> Millis {
-        let age = at - self.born;
+        let age = at - self.started_at;
         if self.number.is_multiple_of(2) {
             age
         } else {
--- a/crates/decisions/tests/best_effort_site/events.rs
+++ b/crates/decisions/tests/best_effort_site/events.rs
@@ -1,4 +1,4 @@
-//! What happens at the site, and the processes that it happens to.
+//! Events of the simulated site, and the state of its processes.
 
 use {
     super::{Millis, site::AGENTS},
@@ -13,35 +13,36 @@
     std::rc::Rc,
 };
 
-/// Something that happens.
+/// An event at a simulated time.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     Submit,
     Resubmit(Rc<BestEffortJob>),
     Fault,
-    Thaw(Node),
+    Unfreeze(Node),
     Restart(Node),
     EndpointRestarts(usize),
     Announce(usize),
     Probe(usize, usize),
-    Heal(usize, usize, u64),
-    /// To one run of one process.
+    Reconnect(usize, usize, u64),
+    /// Hands an input to one run of a process; the number is the run's.
     Process(Node, u64, Input),
-    /// Reaches the endpoint beside an agent; false loses the answer.
+    /// An order of a run of an agent reaches the endpoint; if the flag is false,
+    /// the answer is lost.
     Order(usize, u64, Order, bool),
-    GiveUpOrder(usize, u64, u64),
-    CallerLeaves(CallerId),
-    EndpointMoves(usize),
+    OrderTimesOut(usize, u64, u64),
+    CallerDisconnects(CallerId),
+    AdvanceEndpoint(usize),
 }
 
-/// One process.
+/// A process, by its number.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Node {
     Entry(usize),
     Agent(usize),
 }
 
-/// What a process is told; a number of a link's generation goes with messages.
+/// An input of a process; links and their messages carry the link's generation.
 #[derive(Clone, Debug)]
 pub(super) enum Input {
     Tick,
@@ -56,7 +57,8 @@
     Dispatch(DispatchInput),
 }
 
-/// An order to an endpoint, with its number at the agent.
+/// An order to an endpoint, with its number; a list also has the time until
+/// which it waits for ended runs.
 #[derive(Clone, Debug)]
 pub(super) enum Order {
     Start(u64, StartOrder),
@@ -67,7 +69,7 @@
 #[derive(Debug)]
 pub(super) struct FakeEntry {
     pub(super) machine: Dispatcher,
-    /// Generation of the newest link to each agent that the entry knows.
+    /// Generation of the newest link to each agent that the entry learned of.
     pub(super) links: [u64; AGENTS],
     pub(super) run: u64,
     pub(super) is_up: bool,
--- a/crates/decisions/tests/best_effort_site/troubles.rs
+++ b/crates/decisions/tests/best_effort_site/faults.rs
@@ -1,11 +1,11 @@
-//! What befalls processes, links and endpoints.
+//! Faults of processes, links and endpoints, and the recovery from them.
 
 use {
     super::{
         Millis, Site,
         events::{Event, Input, Node},
         site::{
-            AGENTS, ANNOUNCE_INTERVAL, CALLER_WAITS, ENTRIES, MEAN_FAULT_PAUSE, PROBE_INTERVAL,
+            AGENTS, ANNOUNCE_INTERVAL, CALLER_TIMEOUT, ENTRIES, MEAN_FAULT_PAUSE, PROBE_INTERVAL,
             RESUBMIT_AFTER, SILENCE_LIMIT, new_agent, new_entry,
         },
     },
@@ -14,12 +14,12 @@
 };
 
 impl Site {
-    pub(super) fn fault(&mut self) {
+    pub(super) fn inject_fault(&mut self) {
         if !self.has_faults {
             return;
         }
         let pause = self.rng.random_range(1..MEAN_FAULT_PAUSE * 2);
-        self.after(pause, Event::Fault);
+        self.schedule(pause, Event::Fault);
         let entry = self.rng.random_range(0..ENTRIES);
         let agent = self.rng.random_range(0..AGENTS);
         let length = self.rng.random_range(50..2_500);
@@ -44,7 +44,7 @@
     pub(super) fn endpoint_crash(&mut self, number: usize, length: Millis) {
         if self.endpoints[number].is_up {
             self.endpoints[number].crash(&mut self.judge);
-            self.after(length, Event::EndpointRestarts(number));
+            self.schedule(length, Event::EndpointRestarts(number));
         }
     }
 
@@ -61,30 +61,30 @@
                 agent.frozen_until = agent.frozen_until.max(until);
             }
         }
-        self.after(length, Event::Thaw(node));
+        self.schedule(length, Event::Unfreeze(node));
         let peers: Vec<(usize, usize)> = match node {
             Node::Entry(entry) => (0..AGENTS).map(|agent| (agent, entry)).collect(),
             Node::Agent(agent) => (0..ENTRIES).map(|entry| (agent, entry)).collect(),
         };
-        // The other side closes links that are silent for too long.
+        // The peers of a frozen process close links that are silent for too long.
         if length > SILENCE_LIMIT {
             for (agent, entry) in peers {
                 self.cut(agent, entry, length);
             }
         }
         if let Node::Entry(entry) = node
-            && length > CALLER_WAITS / 2
+            && length > CALLER_TIMEOUT / 2
         {
             self.break_callers(entry);
         }
     }
 
-    pub(super) fn thaw(&mut self, node: Node) {
-        for (told, run, input) in std::mem::take(&mut self.backlogs) {
-            if told == node {
-                self.process(told, run, input);
+    pub(super) fn unfreeze(&mut self, node: Node) {
+        for (target, run, input) in std::mem::take(&mut self.backlogs) {
+            if target == node {
+                self.process(target, run, input);
             } else {
-                self.backlogs.push((told, run, input));
+                self.backlogs.push((target, run, input));
             }
         }
     }
@@ -107,10 +107,10 @@
             }
             _ => return,
         }
-        self.after(length, Event::Restart(node));
+        self.schedule(length, Event::Restart(node));
     }
 
-    /// Callers whose connection broke submit again.
+    /// Breaks the callers' connections to an entry; the callers submit again.
     pub(super) fn break_callers(&mut self, entry: usize) {
         let broken: Vec<CallerId> = self
             .callers
@@ -123,8 +123,8 @@
                 continue;
             };
             let input = Input::Dispatch(DispatchInput::Gone(id));
-            self.tell(Node::Entry(entry), 1, input);
-            self.after(RESUBMIT_AFTER, Event::Resubmit(caller.job));
+            self.send_input(Node::Entry(entry), 1, input);
+            self.schedule(RESUBMIT_AFTER, Event::Resubmit(caller.job));
         }
     }
 
@@ -140,43 +140,43 @@
                 self.agents[number] = new_agent(run, 1_000_000 + at);
             }
         }
-        self.tell(node, 1, Input::Tick);
+        self.send_input(node, 1, Input::Tick);
         for agent in 0..AGENTS {
             for entry in 0..ENTRIES {
                 if node == Node::Entry(entry) || node == Node::Agent(agent) {
                     let generation = self.links[agent][entry].generation;
-                    self.after(5, Event::Heal(agent, entry, generation));
+                    self.schedule(5, Event::Reconnect(agent, entry, generation));
                 }
             }
         }
     }
 
-    /// Cuts a link for a time; 0 resets it.
+    /// Cuts a link for a time; at 0 the link is only reset.
     pub(super) fn cut(&mut self, agent: usize, entry: usize, length: Millis) {
         self.trace(&("fault cut", agent, entry, length));
         let link = &mut self.links[agent][entry];
         link.cut_until = link.cut_until.max(self.at + length);
-        let noticed = if length == 0 { 1 } else { SILENCE_LIMIT };
+        let noticed_after = if length == 0 { 1 } else { SILENCE_LIMIT };
         if link.is_open {
             link.is_open = false;
             let generation = link.generation;
-            self.tell(
+            self.send_input(
                 Node::Entry(entry),
-                noticed,
+                noticed_after,
                 Input::LinkDown(agent, generation),
             );
-            self.tell(
+            self.send_input(
                 Node::Agent(agent),
-                noticed,
+                noticed_after,
                 Input::LinkDown(entry, generation),
             );
         }
         let generation = self.links[agent][entry].generation;
-        let heal = noticed.max(length) + self.rng.random_range(1..250);
-        self.after(heal, Event::Heal(agent, entry, generation));
+        let reconnect_after = noticed_after.max(length) + self.rng.random_range(1..250);
+        self.schedule(reconnect_after, Event::Reconnect(agent, entry, generation));
     }
 
-    pub(super) fn heal(&mut self, agent: usize, entry: usize, generation: u64) {
+    pub(super) fn reconnect(&mut self, agent: usize, entry: usize, generation: u64) {
         let is_up = self.entries[entry].is_up && self.agents[agent].is_up;
         let link = &mut self.links[agent][entry];
         if link.is_open || link.generation != generation || !is_up {
@@ -184,20 +184,20 @@
         }
         if link.cut_until > self.at {
             let wait = link.cut_until - self.at + 10;
-            self.after(wait, Event::Heal(agent, entry, generation));
+            self.schedule(wait, Event::Reconnect(agent, entry, generation));
             return;
         }
         link.is_open = true;
         link.generation += 1;
         let generation = link.generation;
-        self.tell(Node::Agent(agent), 1, Input::LinkUp(entry, generation));
-        self.tell(Node::Entry(entry), 1, Input::LinkUp(agent, generation));
+        self.send_input(Node::Agent(agent), 1, Input::LinkUp(entry, generation));
+        self.send_input(Node::Entry(entry), 1, Input::LinkUp(agent, generation));
     }
 
-    /// Probes a link; the answer proves that the entry was alive when the
-    /// probe left.
+    /// Probes a link; the answer proves that the entry was alive when the agent
+    /// sent the probe.
     pub(super) fn probe(&mut self, agent: usize, entry: usize) {
-        self.after(PROBE_INTERVAL, Event::Probe(agent, entry));
+        self.schedule(PROBE_INTERVAL, Event::Probe(agent, entry));
         let link = self.links[agent][entry];
         let is_answered = link.is_open
             && self.entries[entry].is_up
@@ -205,7 +205,7 @@
             && self.agents[agent].frozen_until <= self.at;
         if is_answered {
             let input = Input::Proven(entry, link.generation, self.at);
-            self.tell(Node::Agent(agent), 2, input);
+            self.send_input(Node::Agent(agent), 2, input);
         }
     }
 
@@ -216,8 +216,8 @@
         }
         let announcement = endpoint.announce(self.at);
         if self.agents[number].is_up {
-            self.tell(Node::Agent(number), 1, Input::Announced(announcement));
+            self.send_input(Node::Agent(number), 1, Input::Announced(announcement));
         }
-        self.after(ANNOUNCE_INTERVAL, Event::Announce(number));
+        self.schedule(ANNOUNCE_INTERVAL, Event::Announce(number));
     }
 }
--- a/crates/decisions/tests/best_effort_site/judge.rs
+++ b/crates/decisions/tests/best_effort_site/judge.rs
@@ -1,4 +1,4 @@
-//! What must hold, as callers and endpoints see it.
+//! Checks what must hold for callers and endpoints.
 
 use {
     super::Millis,
@@ -7,13 +7,14 @@
     indexmap::{IndexMap, IndexSet},
 };
 
-/// What callers and endpoints saw.
+/// Records what callers and endpoints observe, and asserts that no task runs
+/// twice at a time.
 #[derive(Debug, Default)]
 pub struct Judge {
     running: IndexMap<TaskId, (usize, u64)>,
     started: IndexSet<JobId>,
     done: IndexSet<TaskId>,
-    /// Attempts that callers made, and those that were refused.
+    /// How often each job was submitted, and how often it was refused.
     attempts: IndexMap<JobId, (u32, u32)>,
     pub outcomes: IndexMap<&'static str, u32>,
 }
@@ -30,7 +31,7 @@
                 assert_eq!(
                     done,
                     usize::from(width),
-                    "{at}: {job} completed, tasks that did"
+                    "{at}: {job} was answered as completed; completed tasks"
                 );
                 "completed"
             }
@@ -45,17 +46,17 @@
         *self.outcomes.entry(name).or_default() += 1;
     }
 
-    /// An endpoint that is up began a run.
+    /// Records the start of a run.
     pub fn began(&mut self, at: Millis, task: &TaskId, endpoint: usize, run: u64) {
         self.started.insert(task.job.clone());
         let other = self.running.insert(task.clone(), (endpoint, run));
         assert_eq!(
             other, None,
-            "{at}: {task} began at {endpoint} as {run} while it ran"
+            "{at}: {task} started at endpoint {endpoint} as run {run} while it ran"
         );
     }
 
-    /// A run is over, or its endpoint is.
+    /// Records the end of a run, or of its endpoint.
     pub fn ended(&mut self, task: &TaskId, endpoint: usize, run: u64, is_done: bool) {
         if self.running.get(task) == Some(&(endpoint, run)) {
             self.running.swap_remove(task);
@@ -65,14 +66,19 @@
         }
     }
 
-    /// Checks what can be told only at the end.
+    /// Checks at the end that nothing runs, and that no job ran whose submissions
+    /// were all refused.
     pub fn finish(&self) {
-        assert!(self.running.is_empty(), "still running: {:?}", self.running);
+        assert!(
+            self.running.is_empty(),
+            "runs that did not end: {:?}",
+            self.running
+        );
         for (job, (attempts, refused)) in &self.attempts {
             let is_refused = attempts == refused;
             assert!(
                 !is_refused || !self.started.contains(job),
-                "{job} was refused and ran"
+                "{job} ran though every submission was refused"
             );
         }
     }
--- a/crates/decisions/tests/best_effort_site/mod.rs
+++ b/crates/decisions/tests/best_effort_site/mod.rs
@@ -1,13 +1,14 @@
-//! Entries, agents and endpoints of best-effort jobs on a handed-in clock.
+//! A simulated site for best-effort jobs: entries, agents and endpoints on one
+//! simulated clock.
 
 mod endpoint;
 mod events;
+mod faults;
 mod judge;
 mod orders;
 mod site;
-mod troubles;
 
 pub use site::Site;
 
-/// Time of a run, in milliseconds.
+/// Simulated time or duration, in milliseconds.
 pub type Millis = u64;
--- a/crates/decisions/tests/best_effort_site/orders.rs
+++ b/crates/decisions/tests/best_effort_site/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of agents to their endpoints.
+//! Delivery of agents' messages and of their orders to endpoints.
 
 use {
     super::{
@@ -22,7 +22,7 @@
                 if link.is_open {
                     let delay = delay(number, entry);
                     let input = Input::FromAgent(number, link.generation, message);
-                    self.tell(Node::Entry(entry), delay, input);
+                    self.send_input(Node::Entry(entry), delay, input);
                 }
             }
             GuardAction::Start(order) => {
@@ -57,30 +57,36 @@
         self.next_order += 1;
         let run = self.agents[number].run;
         self.agents[number].orders.insert(id, unknown);
-        let patience = answer_by.saturating_duration_since(self.now(self.at).instant);
-        let patience = u64::try_from(patience.as_millis()).unwrap();
-        self.after(patience, Event::GiveUpOrder(number, run, id));
+        let timeout = answer_by.saturating_duration_since(self.now(self.at).instant);
+        let timeout = u64::try_from(timeout.as_millis()).unwrap();
+        self.schedule(timeout, Event::OrderTimesOut(number, run, id));
         let (delay, is_answered) = if self.rng.random_bool(self.late_share) {
             (self.rng.random_range(2_000..6_000), false)
         } else {
             let is_answered = !self.rng.random_bool(self.lost_share);
             (self.rng.random_range(0..3), is_answered)
         };
-        self.after(delay, Event::Order(number, run, order(id), is_answered));
+        self.schedule(delay, Event::Order(number, run, order(id), is_answered));
     }
 
-    pub(super) fn give_up_order(&mut self, number: usize, run: u64, id: u64) {
+    pub(super) fn order_times_out(&mut self, number: usize, run: u64, id: u64) {
         if self.agents[number].run != run {
             return;
         }
         if let Some(unknown) = self.agents[number].orders.get(&id).cloned() {
             let input = Input::Answered(id, unknown);
-            self.after(0, Event::Process(Node::Agent(number), run, input));
+            self.schedule(0, Event::Process(Node::Agent(number), run, input));
         }
     }
 
-    /// Lets an order reach the endpoint, whether or not the agent still lives.
-    pub(super) fn order(&mut self, number: usize, run: u64, order: Order, is_answered: bool) {
+    /// Delivers an order to the endpoint, even if the agent's run has ended.
+    pub(super) fn deliver_order(
+        &mut self,
+        number: usize,
+        run: u64,
+        order: Order,
+        is_answered: bool,
+    ) {
         self.trace(&("order", number, &order, is_answered));
         let at = self.at;
         let endpoint = &mut self.endpoints[number];
@@ -109,7 +115,7 @@
                 endpoint.advance(at, judge);
                 if at < until && !endpoint.has_ends(&order) {
                     let again = Order::List(id, order, until);
-                    self.after(5, Event::Order(number, run, again, is_answered));
+                    self.schedule(5, Event::Order(number, run, again, is_answered));
                     return;
                 }
                 let answer = endpoint.list(at, &order, judge);
@@ -119,7 +125,7 @@
         if is_answered && self.agents[number].run == run {
             let delay = self.rng.random_range(0..2);
             let input = Input::Answered(id, answer);
-            self.after(delay, Event::Process(Node::Agent(number), run, input));
+            self.schedule(delay, Event::Process(Node::Agent(number), run, input));
         }
     }
 }
--- a/crates/decisions/tests/best_effort_site/site.rs
+++ b/crates/decisions/tests/best_effort_site/site.rs
@@ -1,4 +1,4 @@
-//! Processes, links and endpoints on one clock.
+//! The simulated site: processes, links and endpoints on one clock.
 
 use {
     super::{
@@ -30,18 +30,18 @@
 pub(super) const SILENCE_LIMIT: Millis = 600;
 pub(super) const ANNOUNCE_INTERVAL: Millis = 1_500;
 pub(super) const RESUBMIT_AFTER: Millis = 1_300;
-pub(super) const CALLER_WAITS: Millis = 3_000;
+pub(super) const CALLER_TIMEOUT: Millis = 3_000;
 pub(super) const MEAN_FAULT_PAUSE: Millis = 500;
 pub(super) const MEAN_SUBMISSION_PAUSE: Millis = 40;
 
-/// Processes, links and endpoints on one clock.
+/// Simulated processes, links and endpoints on one clock.
 #[derive(Debug)]
 pub struct Site {
     pub(super) rng: StdRng,
     pub(super) at: Millis,
     pub(super) begin: Instant,
     pub(super) queue: BTreeMap<(Millis, u64), Event>,
-    /// What frozen processes are told once they wake, in its order.
+    /// Inputs that frozen processes get in this order once they continue.
     pub(super) backlogs: Vec<(Node, u64, Input)>,
     pub(super) next_event: u64,
     pub(super) next_order: u64,
@@ -56,7 +56,7 @@
     pub(super) late_share: f64,
     pub(super) lost_share: f64,
     pub(super) has_faults: bool,
-    pub(super) traced: Option<String>,
+    pub(super) trace_filter: Option<String>,
     pub judge: Judge,
 }
 
@@ -86,33 +86,33 @@
             late_share: 0.0,
             lost_share: 0.0,
             has_faults: true,
-            traced: std::env::var("CHESTNUTRUN_TRACE").ok(),
+            trace_filter: std::env::var("CHESTNUTRUN_TRACE").ok(),
             judge: Judge::default(),
         };
         for entry in 0..ENTRIES {
-            site.after(1, Event::Process(Node::Entry(entry), 0, Input::Tick));
+            site.schedule(1, Event::Process(Node::Entry(entry), 0, Input::Tick));
         }
         for agent in 0..AGENTS {
-            site.after(1, Event::Process(Node::Agent(agent), 0, Input::Tick));
-            site.after(5, Event::Announce(agent));
-            site.after(1, Event::EndpointMoves(agent));
+            site.schedule(1, Event::Process(Node::Agent(agent), 0, Input::Tick));
+            site.schedule(5, Event::Announce(agent));
+            site.schedule(1, Event::AdvanceEndpoint(agent));
             for entry in 0..ENTRIES {
-                site.after(1, Event::Heal(agent, entry, 0));
-                site.after(1, Event::Probe(agent, entry));
+                site.schedule(1, Event::Reconnect(agent, entry, 0));
+                site.schedule(1, Event::Probe(agent, entry));
             }
         }
-        site.after(100, Event::Submit);
-        site.after(300, Event::Fault);
+        site.schedule(100, Event::Submit);
+        site.schedule(300, Event::Fault);
         site
     }
 
-    /// Runs with submissions and faults.
+    /// Runs the site with submissions and faults.
     pub fn run(&mut self, length: Millis) {
         let end = self.at + length;
         self.run_until(end);
     }
 
-    /// Runs without new submissions or faults.
+    /// Runs the site without new submissions or faults.
     pub fn settle(&mut self, length: Millis) {
         self.has_faults = false;
         (self.late_share, self.lost_share) = (0.0, 0.0);
@@ -120,7 +120,7 @@
         self.run_until(end);
     }
 
-    /// Returns how many callers wait, and how many jobs entries hold.
+    /// Returns how many callers wait for an answer, and how many jobs entries hold.
     pub fn unanswered(&self) -> (usize, usize) {
         let held = self.entries.iter().map(|entry| entry.machine.jobs()).sum();
         (self.callers.len(), held)
@@ -133,12 +133,12 @@
             }
             let ((at, _), event) = entry.remove_entry();
             self.at = self.at.max(at);
-            self.event(event);
+            self.handle_event(event);
         }
         self.at = end;
     }
 
-    pub(super) fn after(&mut self, pause: Millis, event: Event) {
+    pub(super) fn schedule(&mut self, pause: Millis, event: Event) {
         self.next_event += 1;
         self.queue.insert((self.at + pause, self.next_event), event);
     }
@@ -150,30 +150,30 @@
         }
     }
 
-    pub(super) fn event(&mut self, event: Event) {
+    pub(super) fn handle_event(&mut self, event: Event) {
         match event {
             Event::Submit => self.submit_new(),
             Event::Resubmit(job) => self.submit(job),
-            Event::Fault => self.fault(),
-            Event::Thaw(node) => self.thaw(node),
+            Event::Fault => self.inject_fault(),
+            Event::Unfreeze(node) => self.unfreeze(node),
             Event::Restart(node) => self.restart(node),
             Event::EndpointRestarts(number) => {
                 self.endpoints[number].restart(self.at);
                 let announced_after = self.rng.random_range(1..400);
-                self.after(announced_after, Event::Announce(number));
+                self.schedule(announced_after, Event::Announce(number));
             }
             Event::Announce(number) => self.announce(number),
             Event::Probe(agent, entry) => self.probe(agent, entry),
-            Event::Heal(agent, entry, generation) => self.heal(agent, entry, generation),
+            Event::Reconnect(agent, entry, generation) => self.reconnect(agent, entry, generation),
             Event::Process(node, run, input) => self.process(node, run, input),
             Event::Order(agent, run, order, is_answered) => {
-                self.order(agent, run, order, is_answered);
+                self.deliver_order(agent, run, order, is_answered);
             }
-            Event::GiveUpOrder(agent, run, order) => self.give_up_order(agent, run, order),
-            Event::CallerLeaves(caller) => self.caller_leaves(caller),
-            Event::EndpointMoves(number) => {
+            Event::OrderTimesOut(agent, run, order) => self.order_times_out(agent, run, order),
+            Event::CallerDisconnects(caller) => self.caller_disconnects(caller),
+            Event::AdvanceEndpoint(number) => {
                 self.endpoints[number].advance(self.at, &mut self.judge);
-                self.after(2, Event::EndpointMoves(number));
+                self.schedule(2, Event::AdvanceEndpoint(number));
             }
         }
     }
@@ -183,7 +183,7 @@
             return;
         }
         let pause = self.rng.random_range(1..MEAN_SUBMISSION_PAUSE * 2);
-        self.after(pause, Event::Submit);
+        self.schedule(pause, Event::Submit);
         let id: JobId = format!("{:016x}", self.next_job).into();
         self.next_job += 1;
         let work = self.rng.random_range(10..400);
@@ -213,14 +213,14 @@
         let entry = self.rng.random_range(0..ENTRIES);
         if !self.entries[entry].is_up {
             if self.has_faults {
-                self.after(RESUBMIT_AFTER, Event::Resubmit(job));
+                self.schedule(RESUBMIT_AFTER, Event::Resubmit(job));
             }
             return;
         }
         self.judge.submitted(&job.id);
         let caller = self.next_caller;
         self.next_caller += 1;
-        let deadline = self.now(self.at + CALLER_WAITS).instant;
+        let deadline = self.now(self.at + CALLER_TIMEOUT).instant;
         let submission = Submission {
             caller,
             route: Arc::new(route()),
@@ -230,34 +230,34 @@
         self.callers.insert(caller, Caller { entry, job });
         if self.rng.random_bool(0.05) {
             let pause = self.rng.random_range(1..500);
-            self.after(pause, Event::CallerLeaves(caller));
+            self.schedule(pause, Event::CallerDisconnects(caller));
         }
         let input = Input::Dispatch(DispatchInput::Submit(submission));
-        self.tell(Node::Entry(entry), 1, input);
+        self.send_input(Node::Entry(entry), 1, input);
     }
 
-    pub(super) fn caller_leaves(&mut self, caller: CallerId) {
-        if let Some(gone) = self.callers.swap_remove(&caller) {
+    pub(super) fn caller_disconnects(&mut self, caller: CallerId) {
+        if let Some(disconnected) = self.callers.swap_remove(&caller) {
             let input = Input::Dispatch(DispatchInput::Gone(caller));
-            self.tell(Node::Entry(gone.entry), 1, input);
+            self.send_input(Node::Entry(disconnected.entry), 1, input);
         }
     }
 
-    /// Tells the present run of a process something.
-    pub(super) fn tell(&mut self, node: Node, delay: Millis, input: Input) {
+    /// Sends an input to the present run of a process after a delay.
+    pub(super) fn send_input(&mut self, node: Node, delay: Millis, input: Input) {
         let run = match node {
             Node::Entry(number) => self.entries[number].run,
             Node::Agent(number) => self.agents[number].run,
         };
-        self.after(delay, Event::Process(node, run, input));
+        self.schedule(delay, Event::Process(node, run, input));
     }
 
-    /// Shows what concerns a job, for a failed seed: `CHESTNUTRUN_TRACE` holds
-    /// a part of what is shown.
+    /// Prints an event if its text contains the value of `CHESTNUTRUN_TRACE`, such
+    /// as the id of a job that failed.
     pub(super) fn trace(&self, what: &dyn std::fmt::Debug) {
-        if let Some(part) = &self.traced {
+        if let Some(filter) = &self.trace_filter {
             let text = format!("{what:?}");
-            if text.contains(part) {
+            if text.contains(filter) {
                 println!("{} {text}", self.at);
             }
         }
@@ -291,7 +291,7 @@
     pub(super) fn entry_input(&mut self, number: usize, input: Input) {
         let input = match input {
             Input::Tick => {
-                self.tell(Node::Entry(number), ENTRY_TICK, Input::Tick);
+                self.send_input(Node::Entry(number), ENTRY_TICK, Input::Tick);
                 DispatchInput::Tick
             }
             Input::Dispatch(input) => input,
@@ -349,25 +349,28 @@
         let Some(answered) = self.callers.swap_remove(&caller) else {
             return;
         };
-        assert_eq!(answered.job.id, *job, "the answer is to another job");
+        assert_eq!(
+            answered.job.id, *job,
+            "the answer names another job than the caller's"
+        );
         let width = answered.job.steps.iter().map(|step| step.tasks).sum();
         self.judge.answered(self.at, job, width, outcome);
         if outcome == JobOutcome::Expired && self.has_faults {
-            self.after(RESUBMIT_AFTER, Event::Resubmit(answered.job));
+            self.schedule(RESUBMIT_AFTER, Event::Resubmit(answered.job));
         }
     }
 
     pub(super) fn send_agent(&mut self, agent: usize, entry: usize, input: Input) {
         if self.links[agent][entry].is_open {
             let delay = delay(agent, entry);
-            self.tell(Node::Agent(agent), delay, input);
+            self.send_input(Node::Agent(agent), delay, input);
         }
     }
 
     pub(super) fn agent_input(&mut self, number: usize, input: Input) {
         let input = match input {
             Input::Tick => {
-                self.tell(Node::Agent(number), AGENT_TICK, Input::Tick);
+                self.send_input(Node::Agent(number), AGENT_TICK, Input::Tick);
                 GuardInput::Tick
             }
             Input::LinkUp(entry, generation) => {
@@ -417,12 +420,13 @@
         let wake_at = self.agents[number].machine.wake_at(now.instant);
         assert!(
             !is_tick || wake_at.is_none_or(|at| at > now.instant),
-            "agent {number} would spin"
+            "agent {number} has an elapsed deadline after a tick and would spin"
         );
     }
 }
 
-/// Messages on one link keep their order.
+/// Returns the delay of messages on a link; it is fixed, so that the messages
+/// keep their order.
 pub(super) fn delay(agent: usize, entry: usize) -> Millis {
     1 + u64::try_from((agent + entry) % 3).unwrap()
 }
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The order in which an entry places what waits.
+//! The order in which an entry places the tasks of waiting jobs.
 
 use {
     chestnutrun_decisions::placement::{
@@ -18,17 +18,19 @@
 
 const AGENT: &str = "agent";
 
-/// Processor of each task; the endpoint has room for ten.
+/// CPU demand of each task, in thousandths of a core; the endpoint has room for
+/// ten tasks.
 const TASK_CPU: u32 = 1_000;
 
-/// Expected run time of each task: a job should start within some 70 ms.
+/// Expected run time of each task; with it, a job has to start within some 70 ms
+/// to end in time.
 const ESTIMATE: Duration = Duration::from_millis(50);
 
-/// Later than any job of one step should start, and sooner than its answer is
-/// worthless.
+/// Time after submission at which a job is late but its answer is still worth
+/// something.
 const LATE: Duration = Duration::from_millis(150);
 
-/// An entry with one agent.
+/// A dispatcher with one linked agent.
 struct Entry {
     begin: Instant,
     dispatcher: Dispatcher,
@@ -66,7 +68,7 @@
         self.dispatcher.handle(now, input)
     }
 
-    /// Submits a job of one step.
+    /// Submits a job of one step; the caller's number is the job's id.
     fn submit(&mut self, after: Duration, caller: u64, tasks: u16) -> Vec<DispatchAction> {
         let step = StepSpec {
             tasks,
@@ -91,7 +93,7 @@
         self.at(after, DispatchInput::Submit(submission))
     }
 
-    /// Tells that the endpoint has room for some tasks, and how tasks ended.
+    /// Reports room for `free` tasks at the endpoint, and the tasks that ended.
     fn update(&mut self, after: Duration, free: u32, ends: Vec<TaskEnd>) -> Vec<DispatchAction> {
         let update = AgentUpdate {
             free: room(free),
@@ -138,7 +140,7 @@
     assigned.collect()
 }
 
-/// Ends the tasks of an assignment, all but the last `undone` as done.
+/// Reports the tasks of an assignment as done, the last `undone` as not started.
 fn ends(of: &Assignment, undone: usize) -> Vec<TaskEnd> {
     let done = of.tasks.len() - undone;
     let end = |(number, task): (usize, &chestnutrun_types::AssignedTask)| TaskEnd {
@@ -170,7 +172,7 @@
     assert_eq!(
         assignments(entry.submit(LATE, 2, 1)),
         [],
-        "there is no room"
+        "tasks were assigned to a full endpoint"
     );
     let placed = assignments(entry.update(LATE, 1, Vec::new()));
     let jobs: Vec<_> = placed.iter().map(|assigned| assigned.job.clone()).collect();
--- a/crates/decisions/tests/policy.rs
+++ b/crates/decisions/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Policies on a handed-in clock.
+//! The size-aware policy and slots, on a simulated clock.
 
 use {
     chestnutrun_decisions::policy::{EndpointSlots, Policy, SizeAware, SlotUse, Slots, Waiting},
@@ -7,11 +7,11 @@
     std::time::{Duration, Instant, SystemTime},
 };
 
-/// A policy with one fake endpoint.
+/// A policy with one simulated endpoint.
 struct Bench {
     policy: SizeAware,
     slots: Slots,
-    free: EndpointSlots,
+    endpoint_slots: EndpointSlots,
     now: Now,
     submitted: u16,
 }
@@ -30,7 +30,7 @@
         let mut bench = Self {
             policy,
             slots: Slots::default(),
-            free: EndpointSlots {
+            endpoint_slots: EndpointSlots {
                 total,
                 taken: 0,
                 usable: true,
@@ -42,14 +42,14 @@
             },
             submitted: 0,
         };
-        bench.take(0);
+        bench.change_taken(0);
         bench
     }
 
-    fn take(&mut self, change: i64) {
-        let taken = i64::from(self.free.taken) + change;
-        self.free.taken = u32::try_from(taken).expect("slots are not freed twice");
-        self.slots.set(&endpoint(), self.free);
+    fn change_taken(&mut self, change: i64) {
+        let taken = i64::from(self.endpoint_slots.taken) + change;
+        self.endpoint_slots.taken = u32::try_from(taken).expect("slots are not freed twice");
+        self.slots.set(&endpoint(), self.endpoint_slots);
     }
 
     fn submit(&mut self, contract: &str, kind: &str, declared: Duration) -> TaskRef {
@@ -83,7 +83,7 @@
 
     fn start(&mut self) -> Option<TaskRef> {
         let (waiting, _) = self.policy.next(self.now, &self.slots)?;
-        self.take(1);
+        self.change_taken(1);
         Some(waiting.task)
     }
 
@@ -93,18 +93,18 @@
 
     fn end(&mut self, task: &TaskRef) {
         self.policy.release(self.now, task, SlotUse::Completed);
-        self.take(-1);
+        self.change_taken(-1);
     }
 
-    fn pass(&mut self, by: Duration) {
+    fn advance(&mut self, by: Duration) {
         self.now = self.now.later(by);
     }
 
-    /// Runs one task of a kind to its end.
+    /// Submits a task of a kind and runs it to its end.
     fn run(&mut self, contract: &str, kind: &str, run_time: Duration) {
         self.submit(contract, kind, run_time);
         let task = self.start().expect("a slot is free");
-        self.pass(run_time);
+        self.advance(run_time);
         self.end(&task);
     }
 }
@@ -151,7 +151,7 @@
 fn long_tasks_take_every_slot_where_nothing_short_comes() {
     let mut bench = Bench::new(8, &[open("a")]);
     bench.run("a", "check", SHORT);
-    bench.pass(Duration::from_mins(1));
+    bench.advance(Duration::from_mins(1));
     for _ in 0..20 {
         bench.submit("a", "letter", LONG);
     }
@@ -162,12 +162,12 @@
 #[case::declared_too_long(SHORT, LONG, "check")]
 #[case::declared_too_short(LONG, SHORT, "other")]
 fn the_class_follows_the_learned_run_time(
-    #[case] really: Duration,
+    #[case] actual: Duration,
     #[case] declared: Duration,
     #[case] first: &str,
 ) {
     let mut bench = Bench::new(1, &[open("a")]);
-    bench.run("a", "check", really);
+    bench.run("a", "check", actual);
     bench.run("a", "other", Duration::from_millis(100));
     bench.submit("a", "check", declared);
     bench.submit("a", "other", declared);
@@ -200,7 +200,7 @@
         bench.submit("a", "check", SHORT);
     }
     assert_eq!(bench.start_all().len(), 3);
-    bench.pass(Duration::from_secs(1));
+    bench.advance(Duration::from_secs(1));
     for _ in 0..20 {
         bench.submit("a", "letter", LONG);
     }
@@ -222,7 +222,7 @@
     let borrowed = bench.start_all();
     assert_eq!(borrowed.len(), 4);
     let of_b: Vec<TaskRef> = (0..2).map(|_| bench.submit("b", "check", SHORT)).collect();
-    bench.pass(SHORT);
+    bench.advance(SHORT);
     for task in &borrowed[..2] {
         bench.end(task);
     }
@@ -244,7 +244,7 @@
     for _ in 0..100 {
         let started = bench.start_all();
         of_a += started.iter().filter(|task| &*task.contract == "a").count();
-        bench.pass(SHORT);
+        bench.advance(SHORT);
         for task in &started {
             bench.end(task);
         }
@@ -270,7 +270,7 @@
     let removed = bench.submit("a", "check", SHORT);
     assert!(bench.policy.remove(&removed).is_some());
     let late = bench.submit("a", "check", SHORT);
-    bench.pass(Duration::from_mins(2));
+    bench.advance(Duration::from_mins(2));
     let expired: Vec<TaskRef> = bench
         .policy
         .expire(bench.now)
@@ -329,10 +329,10 @@
         bench.submit("a", "check", SHORT);
     }
     let lost = bench.start_all();
-    bench.pass(Duration::from_secs(10));
+    bench.advance(Duration::from_secs(10));
     for task in &lost {
         bench.policy.release(bench.now, task, SlotUse::Unknown);
-        bench.take(-1);
+        bench.change_taken(-1);
     }
     let mut of_a = 0;
     for _ in 0..80 {
@@ -342,7 +342,7 @@
     for _ in 0..20 {
         let started = bench.start_all();
         of_a += started.iter().filter(|task| &*task.contract == "a").count();
-        bench.pass(SHORT);
+        bench.advance(SHORT);
         for task in &started {
             bench.end(task);
         }
