--- a/crates/decisions/src/policy/size_aware.rs
+++ b/crates/decisions/src/policy/size_aware.rs
@@ -47,6 +47,7 @@
     run_times: RunTimes,
     /// Mean number of slots that arriving short tasks need.
     short_load: DecayingRate,
+    /// Virtual time of the contract that started a task last, by urgency.
     served_virtual_time: IndexMap<u8, Duration>,
     arrivals: u64,
 }
@@ -56,6 +57,7 @@
     kind: Option<KindId>,
     class: SizeClass,
     since: Instant,
+    /// Slot time that the contract was charged at the start.
     charged: Duration,
 }
 
@@ -150,7 +152,7 @@
         position
     }
 
-    /// Counts tasks as long that started as short and exceeded the class.
+    /// Counts tasks as long that started as short and run for too long.
     fn reclassify_overruns(&mut self, now: Now) {
         while let Some((since, _)) = self.started_short.front() {
             if *since + SHORT_RUN_TIME >= now.instant {
--- a/crates/decisions/src/timing.rs
+++ b/crates/decisions/src/timing.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// How long an agent accepts a shard's owner after the agent asked for the
-/// confirmation of the ownership.
+/// How long the confirmation of a shard's ownership is valid at an agent,
+/// counted from the agent's request.
 pub const LEASE: Duration = Duration::from_secs(2);
 
 /// Added to a wait for a lease that another worker's clock measures, since
@@ -56,7 +56,7 @@
 
 /// Time from the newest list order to the next immediate list while something
 /// runs. If the newest order or its answer was lost, the agent would otherwise
-/// learn of ended runs only after the time-out. Under load a run ends every
+/// learn of ended runs only after the timeout. Under load a run ends every
 /// 10 ms.
 pub const LOOK_AFTER: Duration = Duration::from_millis(40);
 
@@ -64,9 +64,9 @@
 /// ended task: about ten round trips between availability zones.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(15);
 
-/// Shortest time between two such updates to an entry of another availability
-/// zone. Traffic between zones is paid for, and such an entry uses the endpoint
-/// only if those of its own zone are full.
+/// Counterpart of [`REPORT_INTERVAL`] for an entry of another availability zone:
+/// traffic between zones is paid for, and such an entry uses the endpoint only
+/// if those of its own zone are full.
 pub const FAR_REPORT_INTERVAL: Duration = Duration::from_millis(45);
 
 /// How long a run may show no progress before its agent stops it. The longest
