--- a/crates/decisions/src/agent/fence_state.rs
+++ b/crates/decisions/src/agent/fence_state.rs
@@ -1,7 +1,7 @@
 //! The newest ownership that an agent knows, and how long it is valid.
 
 use {
-    crate::{membership::is_majority, timing::LEASE},
+    crate::{membership::is_majority, timing::OWNERSHIP_LEASE},
     chestnutrun_types::{Confirmation, EntryId, Epoch, Nonce, StartRefusal},
     indexmap::{IndexMap, IndexSet},
     std::time::Instant,
@@ -65,7 +65,7 @@
             // A new owner might not learn of this agent.
             return;
         }
-        let until = asked_at + LEASE;
+        let until = asked_at + OWNERSHIP_LEASE;
         self.lease_until = self.lease_until.max(Some(until));
     }
 
--- a/crates/decisions/src/owner/takeover.rs
+++ b/crates/decisions/src/owner/takeover.rs
@@ -1,7 +1,7 @@
 //! What must be known before a new owner may start work.
 
 use {
-    crate::timing::{CLOCK_DRIFT_MARGIN, LEASE, RECORD_WINDOW},
+    crate::timing::{CLOCK_DRIFT_MARGIN, OWNERSHIP_LEASE, RECORD_WINDOW},
     chestnutrun_types::{EndpointId, Incarnation, KeyHash, KnownAgents, RunRecords},
     indexmap::{IndexMap, IndexSet},
     std::time::Instant,
@@ -80,7 +80,7 @@
     #[must_use]
     pub fn lease_over_at(&self) -> Option<Instant> {
         self.acknowledged_at
-            .map(|at| at + LEASE + CLOCK_DRIFT_MARGIN)
+            .map(|at| at + OWNERSHIP_LEASE + CLOCK_DRIFT_MARGIN)
     }
 
     /// Whether every record of earlier ownerships was read.
--- a/crates/decisions/src/timing.rs
+++ b/crates/decisions/src/timing.rs
@@ -4,7 +4,7 @@
 
 /// How long the confirmation of a shard's ownership is valid at an agent,
 /// counted from the agent's request.
-pub const LEASE: Duration = Duration::from_secs(2);
+pub const OWNERSHIP_LEASE: Duration = Duration::from_secs(2);
 
 /// Added to a wait for a lease that another worker's clock measures, since
 /// clocks run at different rates.
--- a/crates/decisions/tests/owner_regressions.rs
+++ b/crates/decisions/tests/owner_regressions.rs
@@ -4,7 +4,7 @@
     chestnutrun_decisions::{
         owner::{AgentOrder, OwnerAction, OwnerConf, OwnerInput, OwnerMachine, Request, Takeover},
         policy::FirstCome,
-        timing::{CLOCK_DRIFT_MARGIN, LEASE},
+        timing::{CLOCK_DRIFT_MARGIN, OWNERSHIP_LEASE},
     },
     chestnutrun_types::{
         AgentHello, Configuration, Contract, FenceReply, Finished, JobRef, JobSpec, KnownAgents,
@@ -164,7 +164,7 @@
     owner.fence(1, 1, &[]);
     let submit = submission(owner.now, 1);
     owner.submit(submit);
-    let later = owner.pass(2 * LEASE);
+    let later = owner.pass(2 * OWNERSHIP_LEASE);
     assert_eq!(starts(&later), [], "others may vouch for the earlier owner");
     let at = Some(owner.now.instant);
     let known = OwnerInput::Acknowledged(at, KnownAgents::default());
@@ -189,7 +189,7 @@
 #[rstest]
 fn a_start_that_was_forgone_can_be_sent_again(mut owner: Owner) {
     owner.fence(0, 1, &[]);
-    owner.pass(LEASE + CLOCK_DRIFT_MARGIN);
+    owner.pass(OWNERSHIP_LEASE + CLOCK_DRIFT_MARGIN);
     let mut submit = submission(owner.now, 1);
     submit.may_be_older = false;
     let first = starts(&owner.submit(submit)).remove(0);
