--- a/crates/decisions/src/guard/endpoint_state.rs
+++ b/crates/decisions/src/guard/endpoint_state.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         guard::{Announcement, EndNumber, EndpointClock, EndpointHealth},
-        timing::{ENDPOINT_SILENCE_LIMIT, FAILING_PAUSE, LOOK_AFTER},
+        timing::{ENDPOINT_SILENCE_LIMIT, FAILING_PAUSE, IMMEDIATE_LIST_AFTER},
     },
     chestnutrun_types::EndpointInfo,
     std::time::Instant,
@@ -23,7 +23,7 @@
 impl ListsOut {
     /// Returns when one that does not wait is due, while something runs.
     pub(crate) fn look_at(&self) -> Option<Instant> {
-        self.sent_at.map(|at| at + LOOK_AFTER)
+        self.sent_at.map(|at| at + IMMEDIATE_LIST_AFTER)
     }
 }
 
--- a/crates/decisions/src/guard/lists.rs
+++ b/crates/decisions/src/guard/lists.rs
@@ -7,8 +7,8 @@
             run::{Phase, Run},
         },
         timing::{
-            BROKEN_PAUSE, IDLE_POLL_WAIT, LOOK_AFTER, NUMBER_STEP, ORDER_TIMEOUT, POLL_WAIT,
-            REFUSED_PAUSE, RUN_LEASE,
+            BROKEN_PAUSE, IDLE_POLL_WAIT, IMMEDIATE_LIST_AFTER, NUMBER_STEP, ORDER_TIMEOUT,
+            POLL_WAIT, REFUSED_PAUSE, RUN_LEASE,
         },
     },
     chestnutrun_types::{EndKind, Incarnation},
@@ -164,7 +164,10 @@
         let Some(endpoint) = &mut self.endpoint else {
             return;
         };
-        let is_out = endpoint.lists.look.is_some_and(|at| now < at + LOOK_AFTER);
+        let is_out = endpoint
+            .lists
+            .look
+            .is_some_and(|at| now < at + IMMEDIATE_LIST_AFTER);
         if !is_out {
             endpoint.lists.look = Some(now);
             self.list(now, Duration::ZERO);
