--- a/crates/decisions/src/guard/lists.rs
+++ b/crates/decisions/src/guard/lists.rs
@@ -7,8 +7,8 @@
             run::{Phase, Run},
         },
         timing::{
-            BROKEN_PAUSE, IDLE_POLL_WAIT, IMMEDIATE_LIST_AFTER, NUMBER_STEP, ORDER_TIMEOUT,
-            POLL_WAIT, REFUSED_PAUSE, RUN_LEASE,
+            BROKEN_PAUSE, IDLE_LONG_POLL_WAIT, IMMEDIATE_LIST_AFTER, LONG_POLL_WAIT, NUMBER_STEP,
+            ORDER_TIMEOUT, REFUSED_PAUSE, RUN_LEASE,
         },
     },
     chestnutrun_types::{EndKind, Incarnation},
@@ -152,9 +152,9 @@
         }
         endpoint.lists.poll = true;
         let wait = match (is_busy, endpoint.is_clean) {
-            (_, false) => POLL_WAIT / 4,
-            (true, true) => POLL_WAIT,
-            (false, true) => IDLE_POLL_WAIT,
+            (_, false) => LONG_POLL_WAIT / 4,
+            (true, true) => LONG_POLL_WAIT,
+            (false, true) => IDLE_LONG_POLL_WAIT,
         };
         self.list(now, wait);
     }
--- a/crates/decisions/src/timing.rs
+++ b/crates/decisions/src/timing.rs
@@ -48,11 +48,11 @@
 
 /// Longest wait of a long poll for ended runs while something runs: three such
 /// list orders fit into [`RUN_LEASE`].
-pub const POLL_WAIT: Duration = Duration::from_millis(150);
+pub const LONG_POLL_WAIT: Duration = Duration::from_millis(150);
 
 /// Longest wait of a long poll while nothing runs. A start brings its own
 /// lease, and the next list order must arrive before that lease ends.
-pub const IDLE_POLL_WAIT: Duration = Duration::from_millis(400);
+pub const IDLE_LONG_POLL_WAIT: Duration = Duration::from_millis(400);
 
 /// Time from the newest list order to the next immediate list while something
 /// runs. If the newest order or its answer was lost, the agent would otherwise
