--- a/crates/decisions/src/guard/entry_state.rs
+++ b/crates/decisions/src/guard/entry_state.rs
@@ -1,7 +1,7 @@
 //! What an agent knows of one entry.
 
 use {
-    crate::timing::{FAR_REPORT_INTERVAL, REPORT_INTERVAL},
+    crate::timing::{OTHER_ZONE_REPORT_INTERVAL, REPORT_INTERVAL},
     chestnutrun_types::{AssignmentId, Incarnation, Room, TaskEnd, ZoneId},
     std::{
         collections::VecDeque,
@@ -90,7 +90,7 @@
         let interval = if self.zone == *own_zone {
             REPORT_INTERVAL
         } else {
-            FAR_REPORT_INTERVAL
+            OTHER_ZONE_REPORT_INTERVAL
         };
         let free = room.free.cpu_millis;
         let least = free.div_ceil(4).max(1);
--- a/crates/decisions/src/timing.rs
+++ b/crates/decisions/src/timing.rs
@@ -67,7 +67,7 @@
 /// Counterpart of [`REPORT_INTERVAL`] for an entry of another availability zone:
 /// traffic between zones is paid for, and such an entry uses the endpoint only
 /// if those of its own zone are full.
-pub const FAR_REPORT_INTERVAL: Duration = Duration::from_millis(45);
+pub const OTHER_ZONE_REPORT_INTERVAL: Duration = Duration::from_millis(45);
 
 /// How long a run may show no progress before its agent stops it. The longest
 /// tasks, of some 8 s, progress by one percent every 80 ms.
