--- a/crates/decisions/src/guard/lists.rs
+++ b/crates/decisions/src/guard/lists.rs
@@ -7,8 +7,8 @@
             run::{Phase, Run},
         },
         timing::{
-            BROKEN_PAUSE, IDLE_LONG_POLL_WAIT, IMMEDIATE_LIST_AFTER, LONG_POLL_WAIT, NUMBER_STEP,
-            ORDER_TIMEOUT, REFUSED_PAUSE, RUN_LEASE,
+            BROKEN_CONNECTION_PAUSE, IDLE_LONG_POLL_WAIT, IMMEDIATE_LIST_AFTER, LONG_POLL_WAIT,
+            NUMBER_STEP, ORDER_TIMEOUT, REFUSED_PAUSE, RUN_LEASE,
         },
     },
     chestnutrun_types::{EndKind, Incarnation},
@@ -42,7 +42,7 @@
             }
             Answer::Refused(..) => endpoint.poll_after = Some(now + REFUSED_PAUSE),
             // After a time-out that moment is over already.
-            Answer::Unknown => endpoint.poll_after = Some(order.sent_at + BROKEN_PAUSE),
+            Answer::Unknown => endpoint.poll_after = Some(order.sent_at + BROKEN_CONNECTION_PAUSE),
         }
     }
 
--- a/crates/decisions/src/guard/stops.rs
+++ b/crates/decisions/src/guard/stops.rs
@@ -6,7 +6,7 @@
             Answer, GuardAction, GuardMachine, OrderFault, StopOrder,
             run::{Phase, RunKey},
         },
-        timing::{BROKEN_PAUSE, NUMBER_STEP, REFUSED_PAUSE, STALL_LIMIT, START_TIMEOUT},
+        timing::{BROKEN_CONNECTION_PAUSE, NUMBER_STEP, REFUSED_PAUSE, STALL_LIMIT, START_TIMEOUT},
     },
     chestnutrun_types::{DecisionNote, EndKind, Incarnation, RunNumber, TaskId},
     std::time::Instant,
@@ -38,7 +38,9 @@
             }
             Answer::Refused(..) => run.stop_again_at = Some(now + REFUSED_PAUSE),
             Answer::Unknown => {
-                let again_at = run.stop_sent_at.map_or(now, |at| at + BROKEN_PAUSE);
+                let again_at = run
+                    .stop_sent_at
+                    .map_or(now, |at| at + BROKEN_CONNECTION_PAUSE);
                 if now < again_at {
                     run.stop_again_at = Some(again_at);
                 } else {
--- a/crates/decisions/src/timing.rs
+++ b/crates/decisions/src/timing.rs
@@ -81,7 +81,7 @@
 /// Shortest time from an order whose connection broke to the next order of the
 /// same kind: several round trips, and so short that an endpoint that breaks
 /// some of its connections keeps most of its work.
-pub const BROKEN_PAUSE: Duration = Duration::from_millis(50);
+pub const BROKEN_CONNECTION_PAUSE: Duration = Duration::from_millis(50);
 
 /// How long an endpoint that fails nearly all runs gets no task after a failure.
 /// Each failure costs a job some 60 ms, and such an endpoint fails for seconds.
