--- a/crates/decisions/src/placement/dispatcher.rs
+++ b/crates/decisions/src/placement/dispatcher.rs
@@ -58,7 +58,7 @@
         let at = now.instant;
         match input {
             DispatchInput::Submit(submission) => self.submit(at, submission),
-            DispatchInput::Gone(caller) => self.caller_disconnected(at, caller),
+            DispatchInput::CallerDisconnected(caller) => self.caller_disconnected(at, caller),
             DispatchInput::Cancel(job) => self.cancel(at, &job),
             DispatchInput::AgentUp(agent, run, resync) => self.agent_up(at, &agent, run, resync),
             DispatchInput::AgentDown(agent) => self.agent_down(at, &agent),
--- a/crates/decisions/src/placement/messages.rs
+++ b/crates/decisions/src/placement/messages.rs
@@ -77,7 +77,7 @@
     /// A caller submits a job.
     Submit(Submission),
     /// A caller disconnected before its answer.
-    Gone(CallerId),
+    CallerDisconnected(CallerId),
     /// A caller cancels a job, which another request may have submitted.
     Cancel(JobId),
     /// An agent opened a link and sent its first message there.
--- a/crates/decisions/tests/best_effort_site/faults.rs
+++ b/crates/decisions/tests/best_effort_site/faults.rs
@@ -122,7 +122,7 @@
             let Some(caller) = self.callers.swap_remove(&id) else {
                 continue;
             };
-            let input = Input::Dispatch(DispatchInput::Gone(id));
+            let input = Input::Dispatch(DispatchInput::CallerDisconnected(id));
             self.send_input(Node::Entry(entry), 1, input);
             self.schedule(RESUBMIT_AFTER, Event::Resubmit(caller.job));
         }
--- a/crates/decisions/tests/best_effort_site/site.rs
+++ b/crates/decisions/tests/best_effort_site/site.rs
@@ -238,7 +238,7 @@
 
     pub(super) fn caller_disconnects(&mut self, caller: CallerId) {
         if let Some(disconnected) = self.callers.swap_remove(&caller) {
-            let input = Input::Dispatch(DispatchInput::Gone(caller));
+            let input = Input::Dispatch(DispatchInput::CallerDisconnected(caller));
             self.send_input(Node::Entry(disconnected.entry), 1, input);
         }
     }
--- a/crates/dispatch/src/entry_loop.rs
+++ b/crates/dispatch/src/entry_loop.rs
@@ -268,7 +268,7 @@
             }
             CallerEvent::Disconnected(caller) => {
                 if self.callers.swap_remove(&caller).is_some() {
-                    self.handle_input(DispatchInput::Gone(caller));
+                    self.handle_input(DispatchInput::CallerDisconnected(caller));
                 }
             }
             CallerEvent::Cancel(job, reply) => {
