--- a/crates/decisions/src/placement/dispatcher.rs
+++ b/crates/decisions/src/placement/dispatcher.rs
@@ -64,7 +64,7 @@
             DispatchInput::AgentDown(agent) => self.agent_down(at, &agent),
             DispatchInput::Endpoint(agent, info) => self.endpoint_changed(&agent, info),
             DispatchInput::Update(agent, update) => self.agent_updated(at, &agent, update),
-            DispatchInput::AnswerBy(by) => self.answer_all_by(by),
+            DispatchInput::AnswerAllBy(by) => self.answer_all_by(by),
             DispatchInput::Tick => self.tick(at),
         }
         self.place(at);
--- a/crates/decisions/src/placement/messages.rs
+++ b/crates/decisions/src/placement/messages.rs
@@ -89,7 +89,7 @@
     /// An agent reports free room and ended tasks.
     Update(AgentId, AgentUpdate),
     /// Every held job must be answered by this moment.
-    AnswerBy(Instant),
+    AnswerAllBy(Instant),
     /// Time passed; late jobs expire or are refused.
     Tick,
 }
--- a/crates/dispatch/src/entry_loop.rs
+++ b/crates/dispatch/src/entry_loop.rs
@@ -207,7 +207,7 @@
             answer_by,
             exit_by: answer_by + ANSWER_MARGIN,
         });
-        self.handle_input(DispatchInput::AnswerBy(answer_by));
+        self.handle_input(DispatchInput::AnswerAllBy(answer_by));
         ntex::rt::spawn(self.directory.deregister(self.me.clone()));
     }
 
