--- a/crates/decisions/src/placement/dispatcher.rs
+++ b/crates/decisions/src/placement/dispatcher.rs
@@ -62,7 +62,7 @@
             DispatchInput::Cancel(job) => self.cancel(at, &job),
             DispatchInput::AgentUp(agent, run, resync) => self.agent_up(at, &agent, run, resync),
             DispatchInput::AgentDown(agent) => self.agent_down(at, &agent),
-            DispatchInput::Endpoint(agent, info) => self.endpoint_changed(&agent, info),
+            DispatchInput::EndpointChanged(agent, info) => self.endpoint_changed(&agent, info),
             DispatchInput::Update(agent, update) => self.agent_updated(at, &agent, update),
             DispatchInput::AnswerAllBy(by) => self.answer_all_by(by),
             DispatchInput::Tick => self.tick(at),
--- a/crates/decisions/src/placement/messages.rs
+++ b/crates/decisions/src/placement/messages.rs
@@ -85,7 +85,7 @@
     /// The link to an agent closed, or a new one replaces it.
     AgentDown(AgentId),
     /// The endpoint of an agent changed; none if it cannot be used.
-    Endpoint(AgentId, Option<EndpointInfo>),
+    EndpointChanged(AgentId, Option<EndpointInfo>),
     /// An agent reports free room and ended tasks.
     Update(AgentId, AgentUpdate),
     /// Every held job must be answered by this moment.
--- a/crates/decisions/tests/best_effort_site/site.rs
+++ b/crates/decisions/tests/best_effort_site/site.rs
@@ -315,7 +315,7 @@
                     GuardMessage::Resync(resync) => {
                         DispatchInput::AgentUp(name, self.agents[agent].run, resync)
                     }
-                    GuardMessage::Endpoint(info) => DispatchInput::Endpoint(name, info),
+                    GuardMessage::Endpoint(info) => DispatchInput::EndpointChanged(name, info),
                     GuardMessage::Update(update) => DispatchInput::Update(name, update),
                 }
             }
--- a/crates/dispatch/src/entry_loop.rs
+++ b/crates/dispatch/src/entry_loop.rs
@@ -431,7 +431,7 @@
     ) {
         let input = match message {
             Message::Resync(resync) => DispatchInput::AgentUp(agent, incarnation, resync),
-            Message::Endpoint(info) => DispatchInput::Endpoint(agent, info),
+            Message::Endpoint(info) => DispatchInput::EndpointChanged(agent, info),
             Message::Update(update) => DispatchInput::Update(agent, update),
             other => {
                 log::warn!("ignored message {}, which no agent sends", other.kind());
