--- a/crates/decisions/src/placement/dispatcher.rs
+++ b/crates/decisions/src/placement/dispatcher.rs
@@ -240,7 +240,7 @@
     }
 
     pub(super) fn record(&mut self, note: DecisionNote) {
-        self.actions.push(DispatchAction::Note(note));
+        self.actions.push(DispatchAction::Record(note));
     }
 
     /// Forgets a job and revokes the assignments that agents may still hold.
--- a/crates/decisions/src/placement/messages.rs
+++ b/crates/decisions/src/placement/messages.rs
@@ -104,5 +104,5 @@
     /// Takes assignments back: the agent drops or stops their tasks.
     Revoke(AgentId, Revocation),
     /// Records a decision in the structured log.
-    Note(DecisionNote),
+    Record(DecisionNote),
 }
--- a/crates/dispatch/src/entry_loop.rs
+++ b/crates/dispatch/src/entry_loop.rs
@@ -463,7 +463,7 @@
 
     fn run_action(&mut self, action: DispatchAction) {
         match action {
-            DispatchAction::Note(note) => self.recorder.record(Now::read(), note),
+            DispatchAction::Record(note) => self.recorder.record(Now::read(), note),
             DispatchAction::Answer(caller, _, outcome) => {
                 if let Some(reply) = self.callers.swap_remove(&caller) {
                     // Sending fails if the caller disconnected.
