--- a/crates/decisions/src/owner/admission.rs
+++ b/crates/decisions/src/owner/admission.rs
@@ -51,9 +51,9 @@
 
     /// Returns when a contract that is full has room again, as its tasks end now.
     fn retry_after(&self, now: Now, contract: &ContractId) -> Duration {
-        let drains_in = self.policy.drains_in(now, contract);
-        let drains_in = drains_in.unwrap_or(RETRY_AFTER);
-        drains_in.clamp(RETRY_AFTER, MAX_RETRY_AFTER)
+        let time_to_drain = self.policy.time_to_drain(now, contract);
+        let time_to_drain = time_to_drain.unwrap_or(RETRY_AFTER);
+        time_to_drain.clamp(RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     pub(super) fn admit(&mut self, now: Now, from: &EntryId, submit: Submit) {
--- a/crates/decisions/src/policy/policy_trait.rs
+++ b/crates/decisions/src/policy/policy_trait.rs
@@ -47,7 +47,7 @@
 
     /// Returns how long a contract's waiting and running tasks take to end at the
     /// present rate; none if the rate is unknown.
-    fn drains_in(&self, _now: Now, _contract: &ContractId) -> Option<Duration> {
+    fn time_to_drain(&self, _now: Now, _contract: &ContractId) -> Option<Duration> {
         None
     }
 
--- a/crates/decisions/src/policy/size_aware.rs
+++ b/crates/decisions/src/policy/size_aware.rs
@@ -338,7 +338,7 @@
         queue.map_or(0, |queue| queue.running)
     }
 
-    fn drains_in(&self, now: Now, contract: &ContractId) -> Option<Duration> {
+    fn time_to_drain(&self, now: Now, contract: &ContractId) -> Option<Duration> {
         let queue = self.contracts.get(contract)?;
         let tasks = u32::try_from(queue.waiting() + queue.running).ok()?;
         let ends_per_second = queue.end_rate.per_second(now.instant);
--- a/crates/decisions/tests/policy.rs
+++ b/crates/decisions/tests/policy.rs
@@ -314,8 +314,8 @@
     for _ in 0..100 {
         bench.submit("a", "check", SHORT);
     }
-    let drains_in = bench.policy.drains_in(bench.now, &"a".into());
-    let seconds = drains_in.expect("the rate is known").as_secs_f64();
+    let time_to_drain = bench.policy.time_to_drain(bench.now, &"a".into());
+    let seconds = time_to_drain.expect("the rate is known").as_secs_f64();
     assert!(
         (4.5..=5.5).contains(&seconds),
         "{seconds} s for 100 tasks of 50 ms"
