--- a/crates/bench/src/experiment/ideal.rs
+++ b/crates/bench/src/experiment/ideal.rs
@@ -1,7 +1,7 @@
 //! One queue with full knowledge, to compare with.
 
 use {
-    chestnutrun_decisions::policy::{Policy, SlotUse, Slots, Waiting},
+    chestnutrun_decisions::policy::{Policy, SlotUse, Slots, WaitingTask},
     chestnutrun_types::{Configuration, ContractId, EndpointId, Now, TaskRef},
     indexmap::IndexMap,
     std::{collections::BTreeMap, time::Duration},
@@ -12,7 +12,7 @@
 /// The experiment hands it the true run times as the declared ones.
 #[derive(Debug, Default)]
 pub struct Ideal {
-    queue: BTreeMap<(Duration, u64), Waiting>,
+    queue: BTreeMap<(Duration, u64), WaitingTask>,
     keys: IndexMap<TaskRef, (Duration, u64)>,
     arrivals: u64,
 }
@@ -20,19 +20,19 @@
 impl Policy for Ideal {
     fn configure(&mut self, _configuration: &Configuration) {}
 
-    fn enqueue(&mut self, _now: Now, waiting: Waiting, _retried: bool) {
+    fn enqueue(&mut self, _now: Now, waiting: WaitingTask, _retried: bool) {
         self.arrivals += 1;
         let key = (waiting.declared_run_time, self.arrivals);
         self.keys.insert(waiting.task.clone(), key);
         self.queue.insert(key, waiting);
     }
 
-    fn remove(&mut self, task: &TaskRef) -> Option<Waiting> {
+    fn remove(&mut self, task: &TaskRef) -> Option<WaitingTask> {
         let key = self.keys.swap_remove(task)?;
         self.queue.remove(&key)
     }
 
-    fn next(&mut self, _now: Now, slots: &Slots) -> Option<(Waiting, EndpointId)> {
+    fn next(&mut self, _now: Now, slots: &Slots) -> Option<(WaitingTask, EndpointId)> {
         let endpoint = slots.emptiest()?.clone();
         let (_, waiting) = self.queue.pop_first()?;
         self.keys.swap_remove(&waiting.task);
@@ -51,7 +51,7 @@
         0
     }
 
-    fn expire(&mut self, _now: Now) -> Vec<Waiting> {
+    fn expire(&mut self, _now: Now) -> Vec<WaitingTask> {
         Vec::new()
     }
 }
--- a/crates/decisions/src/owner/admission.rs
+++ b/crates/decisions/src/owner/admission.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         owner::{JobState, OwnerMachine, TaskState},
-        policy::Waiting,
+        policy::WaitingTask,
         timing::RECORD_WINDOW,
     },
     chestnutrun_types::{
@@ -120,9 +120,9 @@
     Refusal { reason, retry_at }
 }
 
-fn waiting_task(now: Now, spec: &JobSpec, task: TaskRef) -> Option<Waiting> {
+fn waiting_task(now: Now, spec: &JobSpec, task: TaskRef) -> Option<WaitingTask> {
     let of_task = spec.tasks.get(usize::from(task.index))?;
-    Some(Waiting {
+    Some(WaitingTask {
         task,
         kind: KindId::clone(&of_task.kind),
         declared_run_time: of_task.declared_run_time,
--- a/crates/decisions/src/policy/contract_queue.rs
+++ b/crates/decisions/src/policy/contract_queue.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::policy::{
-        Waiting,
+        WaitingTask,
         decaying_rate::DecayingRate,
         size_class::{PerClass, SizeClass},
     },
@@ -92,7 +92,7 @@
     /// Terms in force.
     pub terms: Terms,
     /// Waiting tasks by class.
-    pub queues: PerClass<BTreeMap<QueueKey, Waiting>>,
+    pub queues: PerClass<BTreeMap<QueueKey, WaitingTask>>,
     /// Tasks that hold slots.
     pub running: usize,
     /// Rate of tasks that released their slots.
--- a/crates/decisions/src/policy/endpoint_queues.rs
+++ b/crates/decisions/src/policy/endpoint_queues.rs
@@ -2,7 +2,7 @@
 //! baselines for comparisons.
 
 use {
-    crate::policy::{FirstCome, Policy, SlotUse, Slots, Waiting},
+    crate::policy::{FirstCome, Policy, SlotUse, Slots, WaitingTask},
     chestnutrun_types::{Configuration, ContractId, EndpointId, Now, TaskRef},
     indexmap::IndexMap,
     rand::{RngExt, rngs::StdRng},
@@ -77,19 +77,19 @@
         self.tasks.configure(configuration);
     }
 
-    fn enqueue(&mut self, now: Now, waiting: Waiting, retried: bool) {
+    fn enqueue(&mut self, now: Now, waiting: WaitingTask, retried: bool) {
         self.tasks.enqueue(now, waiting, retried);
     }
 
-    fn remove(&mut self, task: &TaskRef) -> Option<Waiting> {
+    fn remove(&mut self, task: &TaskRef) -> Option<WaitingTask> {
         self.bound.swap_remove(task);
         self.tasks.remove(task)
     }
 
-    fn next(&mut self, _now: Now, slots: &Slots) -> Option<(Waiting, EndpointId)> {
+    fn next(&mut self, _now: Now, slots: &Slots) -> Option<(WaitingTask, EndpointId)> {
         self.bind_tasks(slots);
         let bound = &self.bound;
-        let has_free_slot = |waiting: &Waiting| {
+        let has_free_slot = |waiting: &WaitingTask| {
             let endpoint = bound.get(&waiting.task);
             let free = endpoint.and_then(|endpoint| slots.get(endpoint));
             free.is_some_and(|slots| slots.free() > 0)
@@ -115,7 +115,7 @@
         self.tasks.running(contract)
     }
 
-    fn expire(&mut self, now: Now) -> Vec<Waiting> {
+    fn expire(&mut self, now: Now) -> Vec<WaitingTask> {
         let late = self.tasks.expire(now);
         for waiting in &late {
             self.bound.swap_remove(&waiting.task);
--- a/crates/decisions/src/policy/first_come.rs
+++ b/crates/decisions/src/policy/first_come.rs
@@ -1,7 +1,7 @@
 //! First come, first served: the baseline for comparisons.
 
 use {
-    crate::policy::{Policy, SlotUse, Slots, Waiting},
+    crate::policy::{Policy, SlotUse, Slots, WaitingTask},
     chestnutrun_types::{Configuration, ContractId, EndpointId, Now, TaskRef},
     indexmap::{IndexMap, IndexSet},
     std::collections::VecDeque,
@@ -10,7 +10,7 @@
 /// Serves all contracts from one queue, each up to its in-flight limit.
 #[derive(Debug, Default)]
 pub struct FirstCome {
-    queue: VecDeque<Waiting>,
+    queue: VecDeque<WaitingTask>,
     running: IndexSet<TaskRef>,
     running_by_contract: IndexMap<ContractId, usize>,
     waiting_by_contract: IndexMap<ContractId, usize>,
@@ -24,13 +24,13 @@
     }
 
     /// Iterates over the waiting tasks in the order of the queue.
-    pub fn iter(&self) -> impl Iterator<Item = &Waiting> {
+    pub fn iter(&self) -> impl Iterator<Item = &WaitingTask> {
         self.queue.iter()
     }
 
     /// Takes the first task that is within its contract's limit and that
     /// `may_start` accepts, and counts it as running.
-    pub fn start_first(&mut self, may_start: impl Fn(&Waiting) -> bool) -> Option<Waiting> {
+    pub fn start_first(&mut self, may_start: impl Fn(&WaitingTask) -> bool) -> Option<WaitingTask> {
         let position = self.queue.iter().position(|waiting| {
             self.is_within_limit(&waiting.task.contract) && may_start(waiting)
         })?;
@@ -39,7 +39,7 @@
         Some(waiting)
     }
 
-    fn remove_at(&mut self, position: usize) -> Option<Waiting> {
+    fn remove_at(&mut self, position: usize) -> Option<WaitingTask> {
         let waiting = self.queue.remove(position)?;
         decrement(&mut self.waiting_by_contract, &waiting.task.contract);
         Some(waiting)
@@ -61,7 +61,7 @@
             .collect();
     }
 
-    fn enqueue(&mut self, _now: Now, waiting: Waiting, retried: bool) {
+    fn enqueue(&mut self, _now: Now, waiting: WaitingTask, retried: bool) {
         increment(&mut self.waiting_by_contract, &waiting.task.contract);
         if retried {
             self.queue.push_front(waiting);
@@ -70,7 +70,7 @@
         }
     }
 
-    fn remove(&mut self, task: &TaskRef) -> Option<Waiting> {
+    fn remove(&mut self, task: &TaskRef) -> Option<WaitingTask> {
         let position = self
             .queue
             .iter()
@@ -78,7 +78,7 @@
         self.remove_at(position)
     }
 
-    fn next(&mut self, _now: Now, slots: &Slots) -> Option<(Waiting, EndpointId)> {
+    fn next(&mut self, _now: Now, slots: &Slots) -> Option<(WaitingTask, EndpointId)> {
         let endpoint = slots.emptiest()?.clone();
         let waiting = self.start_first(|_| true)?;
         Some((waiting, endpoint))
@@ -108,7 +108,7 @@
             .unwrap_or_default()
     }
 
-    fn expire(&mut self, now: Now) -> Vec<Waiting> {
+    fn expire(&mut self, now: Now) -> Vec<WaitingTask> {
         let (late, rest): (VecDeque<_>, VecDeque<_>) = self
             .queue
             .drain(..)
--- a/crates/decisions/src/policy/mod.rs
+++ b/crates/decisions/src/policy/mod.rs
@@ -10,7 +10,7 @@
 mod size_class;
 mod slots;
 mod static_shares;
-mod waiting;
+mod waiting_task;
 
 pub use {
     endpoint_queues::{EndpointChoice, EndpointQueues},
@@ -19,5 +19,5 @@
     size_aware::SizeAware,
     slots::{EndpointSlots, Slots},
     static_shares::StaticShares,
-    waiting::Waiting,
+    waiting_task::WaitingTask,
 };
--- a/crates/decisions/src/policy/policy_trait.rs
+++ b/crates/decisions/src/policy/policy_trait.rs
@@ -1,7 +1,7 @@
 //! The interface between a shard's owner and its scheduling policy.
 
 use {
-    crate::policy::{Slots, Waiting},
+    crate::policy::{Slots, WaitingTask},
     chestnutrun_types::{Configuration, ContractId, EndpointId, Now, TaskRef},
     std::{fmt, time::Duration},
 };
@@ -23,15 +23,15 @@
     fn configure(&mut self, configuration: &Configuration);
 
     /// Adds a waiting task; with `retried`, the task goes before its equals.
-    fn enqueue(&mut self, now: Now, waiting: Waiting, retried: bool);
+    fn enqueue(&mut self, now: Now, waiting: WaitingTask, retried: bool);
 
     /// Removes and returns a waiting task, if it is known.
-    fn remove(&mut self, task: &TaskRef) -> Option<Waiting>;
+    fn remove(&mut self, task: &TaskRef) -> Option<WaitingTask>;
 
     /// Removes and returns the next task that may start now, with its endpoint.
     ///
     /// The policy counts the task as running until [`Policy::release`].
-    fn next(&mut self, now: Now, slots: &Slots) -> Option<(Waiting, EndpointId)>;
+    fn next(&mut self, now: Now, slots: &Slots) -> Option<(WaitingTask, EndpointId)>;
 
     /// Counts a task as running that an earlier owner of the shard started.
     fn adopt(&mut self, now: Now, task: &TaskRef);
@@ -52,5 +52,5 @@
     }
 
     /// Removes and returns every waiting task whose deadline passed.
-    fn expire(&mut self, now: Now) -> Vec<Waiting>;
+    fn expire(&mut self, now: Now) -> Vec<WaitingTask>;
 }
--- a/crates/decisions/src/policy/size_aware.rs
+++ b/crates/decisions/src/policy/size_aware.rs
@@ -3,7 +3,7 @@
 
 use {
     crate::policy::{
-        Policy, SlotUse, Slots, Waiting,
+        Policy, SlotUse, Slots, WaitingTask,
         contract_queue::{ContractQueue, QueueKey, Terms, Turn},
         decaying_rate::DecayingRate,
         run_times::RunTimes,
@@ -88,7 +88,7 @@
         }
     }
 
-    fn estimate(&self, waiting: &Waiting) -> Duration {
+    fn estimate(&self, waiting: &WaitingTask) -> Duration {
         let contract = &waiting.task.contract;
         self.run_times
             .estimate(contract, &waiting.kind, waiting.declared_run_time)
@@ -131,7 +131,7 @@
     }
 
     /// Removes and returns the first waiting task of a contract and class.
-    fn pop(&mut self, position: usize, class: SizeClass) -> Option<Waiting> {
+    fn pop(&mut self, position: usize, class: SizeClass) -> Option<WaitingTask> {
         let queue = &mut self.contracts[position];
         let (key, waiting) = queue.queues.get_mut(class).pop_first()?;
         self.waiting.swap_remove(&waiting.task);
@@ -235,7 +235,7 @@
         }
     }
 
-    fn enqueue(&mut self, now: Now, waiting: Waiting, retried: bool) {
+    fn enqueue(&mut self, now: Now, waiting: WaitingTask, retried: bool) {
         let estimate = self.estimate(&waiting);
         let class = SizeClass::of(estimate);
         let position = self.contract_position(&waiting.task.contract);
@@ -261,7 +261,7 @@
         self.update_turns(position);
     }
 
-    fn remove(&mut self, task: &TaskRef) -> Option<Waiting> {
+    fn remove(&mut self, task: &TaskRef) -> Option<WaitingTask> {
         let (key, class) = self.waiting.swap_remove(task)?;
         self.deadlines.remove(&(key.deadline, key.arrival));
         let position = self.contracts.get_index_of(&task.contract)?;
@@ -271,7 +271,7 @@
         waiting
     }
 
-    fn next(&mut self, now: Now, slots: &Slots) -> Option<(Waiting, EndpointId)> {
+    fn next(&mut self, now: Now, slots: &Slots) -> Option<(WaitingTask, EndpointId)> {
         let endpoint = slots.emptiest()?.clone();
         self.reclassify_overruns(now);
         let class = self.next_class(now, slots)?;
@@ -345,7 +345,7 @@
         Duration::try_from_secs_f64(f64::from(tasks) / ends_per_second).ok()
     }
 
-    fn expire(&mut self, now: Now) -> Vec<Waiting> {
+    fn expire(&mut self, now: Now) -> Vec<WaitingTask> {
         let mut late = Vec::new();
         while let Some((&(deadline, _), task)) = self.deadlines.first_key_value() {
             if deadline > now.wall {
--- a/crates/decisions/src/policy/static_shares.rs
+++ b/crates/decisions/src/policy/static_shares.rs
@@ -1,7 +1,7 @@
 //! A fixed share of the slots for each contract: a baseline for comparisons.
 
 use {
-    crate::policy::{FirstCome, Policy, SlotUse, Slots, Waiting},
+    crate::policy::{FirstCome, Policy, SlotUse, Slots, WaitingTask},
     chestnutrun_types::{Configuration, ContractId, EndpointId, Now, TaskRef},
     indexmap::IndexMap,
 };
@@ -33,15 +33,15 @@
             .collect();
     }
 
-    fn enqueue(&mut self, now: Now, waiting: Waiting, retried: bool) {
+    fn enqueue(&mut self, now: Now, waiting: WaitingTask, retried: bool) {
         self.tasks.enqueue(now, waiting, retried);
     }
 
-    fn remove(&mut self, task: &TaskRef) -> Option<Waiting> {
+    fn remove(&mut self, task: &TaskRef) -> Option<WaitingTask> {
         self.tasks.remove(task)
     }
 
-    fn next(&mut self, _now: Now, slots: &Slots) -> Option<(Waiting, EndpointId)> {
+    fn next(&mut self, _now: Now, slots: &Slots) -> Option<(WaitingTask, EndpointId)> {
         let endpoint = slots.emptiest()?.clone();
         let has_room: IndexMap<ContractId, bool> = self
             .weights
@@ -51,7 +51,7 @@
                 (contract.clone(), has_room)
             })
             .collect();
-        let may_start = |waiting: &Waiting| has_room.get(&waiting.task.contract) == Some(&true);
+        let may_start = |waiting: &WaitingTask| has_room.get(&waiting.task.contract) == Some(&true);
         let waiting = self.tasks.start_first(may_start)?;
         Some((waiting, endpoint))
     }
@@ -72,7 +72,7 @@
         self.tasks.running(contract)
     }
 
-    fn expire(&mut self, now: Now) -> Vec<Waiting> {
+    fn expire(&mut self, now: Now) -> Vec<WaitingTask> {
         self.tasks.expire(now)
     }
 }
--- a/crates/decisions/src/policy/waiting.rs
+++ b/crates/decisions/src/policy/waiting_task.rs
@@ -7,7 +7,7 @@
 
 /// A task that waits for a slot.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Waiting {
+pub struct WaitingTask {
     /// The task.
     pub task: TaskRef,
     /// Kind of the task, by which run times are learned.
--- a/crates/decisions/tests/policy.rs
+++ b/crates/decisions/tests/policy.rs
@@ -1,7 +1,9 @@
 //! The size-aware policy and slots, on a simulated clock.
 
 use {
-    chestnutrun_decisions::policy::{EndpointSlots, Policy, SizeAware, SlotUse, Slots, Waiting},
+    chestnutrun_decisions::policy::{
+        EndpointSlots, Policy, SizeAware, SlotUse, Slots, WaitingTask,
+    },
     chestnutrun_types::{Configuration, Contract, EndpointId, Now, Overflow, TaskRef},
     rstest::rstest,
     std::time::{Duration, Instant, SystemTime},
@@ -69,7 +71,7 @@
             key: "job".into(),
             index: self.submitted,
         };
-        let waiting = Waiting {
+        let waiting = WaitingTask {
             task: task.clone(),
             kind: kind.into(),
             declared_run_time: declared,
