--- a/crates/decisions/src/guard/lists.rs
+++ b/crates/decisions/src/guard/lists.rs
@@ -7,8 +7,8 @@
             run::{Phase, Run},
         },
         timing::{
-            BROKEN_PAUSE, IDLE_POLL_WAIT, LOOK_AFTER, NUMBER_STEP, ORDER_TIMEOUT, POLL_WAIT,
-            REFUSED_PAUSE, RUN_LEASE,
+            BROKEN_CONNECTION_PAUSE, IDLE_LONG_POLL_WAIT, IMMEDIATE_LIST_AFTER, LONG_POLL_WAIT,
+            NUMBER_STEP, ORDER_TIMEOUT, REFUSED_PAUSE, RUN_LEASE,
         },
     },
     chestnutrun_types::{EndKind, Incarnation},
@@ -42,7 +42,7 @@
             }
             Answer::Refused(..) => endpoint.poll_after = Some(now + REFUSED_PAUSE),
             // After a time-out that moment is over already.
-            Answer::Unknown => endpoint.poll_after = Some(order.sent_at + BROKEN_PAUSE),
+            Answer::Unknown => endpoint.poll_after = Some(order.sent_at + BROKEN_CONNECTION_PAUSE),
         }
     }
 
@@ -152,9 +152,9 @@
         }
         endpoint.lists.poll = true;
         let wait = match (is_busy, endpoint.is_clean) {
-            (_, false) => POLL_WAIT / 4,
-            (true, true) => POLL_WAIT,
-            (false, true) => IDLE_POLL_WAIT,
+            (_, false) => LONG_POLL_WAIT / 4,
+            (true, true) => LONG_POLL_WAIT,
+            (false, true) => IDLE_LONG_POLL_WAIT,
         };
         self.list(now, wait);
     }
@@ -164,7 +164,10 @@
         let Some(endpoint) = &mut self.endpoint else {
             return;
         };
-        let is_out = endpoint.lists.look.is_some_and(|at| now < at + LOOK_AFTER);
+        let is_out = endpoint
+            .lists
+            .look
+            .is_some_and(|at| now < at + IMMEDIATE_LIST_AFTER);
         if !is_out {
             endpoint.lists.look = Some(now);
             self.list(now, Duration::ZERO);
--- a/crates/decisions/src/owner/admission.rs
+++ b/crates/decisions/src/owner/admission.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         owner::{JobState, OwnerMachine, TaskState},
-        policy::Waiting,
+        policy::WaitingTask,
         timing::RECORD_WINDOW,
     },
     chestnutrun_types::{
@@ -52,9 +52,9 @@
     /// Estimates, from the rate at which its tasks end now, how long a contract
     /// takes to have room again.
     fn retry_after(&self, now: Now, contract: &ContractId) -> Duration {
-        let drains_in = self.policy.drains_in(now, contract);
-        let drains_in = drains_in.unwrap_or(MIN_RETRY_AFTER);
-        drains_in.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
+        let time_to_drain = self.policy.time_to_drain(now, contract);
+        let time_to_drain = time_to_drain.unwrap_or(MIN_RETRY_AFTER);
+        time_to_drain.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     /// Records a new job and queues its tasks.
@@ -124,9 +124,9 @@
     Refusal { reason, retry_at }
 }
 
-fn waiting_task(now: Now, spec: &JobSpec, task: TaskRef) -> Option<Waiting> {
+fn waiting_task(now: Now, spec: &JobSpec, task: TaskRef) -> Option<WaitingTask> {
     let task_spec = spec.tasks.get(usize::from(task.index))?;
-    Some(Waiting {
+    Some(WaitingTask {
         task,
         kind: KindId::clone(&task_spec.kind),
         declared_run_time: task_spec.declared_run_time,
--- a/crates/decisions/src/policy/static_shares.rs
+++ b/crates/decisions/src/policy/static_shares.rs
@@ -1,12 +1,13 @@
-//! A fixed part of the slots for each contract: a baseline.
+//! A fixed share of the slots for each contract: a baseline for comparisons.
 
 use {
-    crate::policy::{FirstCome, Policy, SlotUse, Slots, Waiting},
+    crate::policy::{FirstCome, Policy, SlotUse, Slots, WaitingTask},
     chestnutrun_types::{Configuration, ContractId, EndpointId, Now, TaskRef},
     indexmap::IndexMap,
 };
 
-/// Gives each contract the part of the slots that its weight has of all.
+/// Gives each contract a share of the slots in proportion to its weight, and at
+/// least one slot.
 #[derive(Debug, Default)]
 pub struct StaticShares {
     tasks: FirstCome,
@@ -15,9 +16,9 @@
 
 impl StaticShares {
     fn share(&self, contract: &ContractId, slots: &Slots) -> usize {
-        let all: u32 = self.weights.values().sum();
+        let total_weight: u32 = self.weights.values().sum();
         let weight = self.weights.get(contract).copied().unwrap_or_default();
-        let share = slots.usable() * weight / all.max(1);
+        let share = slots.usable() * weight / total_weight.max(1);
         share.max(1) as usize
     }
 }
@@ -32,15 +33,15 @@
             .collect();
     }
 
-    fn enqueue(&mut self, now: Now, waiting: Waiting, retried: bool) {
+    fn enqueue(&mut self, now: Now, waiting: WaitingTask, retried: bool) {
         self.tasks.enqueue(now, waiting, retried);
     }
 
-    fn remove(&mut self, task: &TaskRef) -> Option<Waiting> {
+    fn remove(&mut self, task: &TaskRef) -> Option<WaitingTask> {
         self.tasks.remove(task)
     }
 
-    fn next(&mut self, _now: Now, slots: &Slots) -> Option<(Waiting, EndpointId)> {
+    fn next(&mut self, _now: Now, slots: &Slots) -> Option<(WaitingTask, EndpointId)> {
         let endpoint = slots.emptiest()?.clone();
         let has_room: IndexMap<ContractId, bool> = self
             .weights
@@ -50,8 +51,8 @@
                 (contract.clone(), has_room)
             })
             .collect();
-        let may_start = |waiting: &Waiting| has_room.get(&waiting.task.contract) == Some(&true);
-        let waiting = self.tasks.take_first(may_start)?;
+        let may_start = |waiting: &WaitingTask| has_room.get(&waiting.task.contract) == Some(&true);
+        let waiting = self.tasks.start_first(may_start)?;
         Some((waiting, endpoint))
     }
 
@@ -71,7 +72,7 @@
         self.tasks.running(contract)
     }
 
-    fn expire(&mut self, now: Now) -> Vec<Waiting> {
+    fn expire(&mut self, now: Now) -> Vec<WaitingTask> {
         self.tasks.expire(now)
     }
 }
--- a/crates/decisions/tests/owner_regressions.rs
+++ b/crates/decisions/tests/owner_regressions.rs
@@ -4,7 +4,7 @@
     chestnutrun_decisions::{
         owner::{AgentOrder, OwnerAction, OwnerConf, OwnerInput, OwnerMachine, Request, Takeover},
         policy::FirstCome,
-        timing::{CLOCK_DRIFT_MARGIN, LEASE},
+        timing::{CLOCK_DRIFT_MARGIN, OWNERSHIP_LEASE},
     },
     chestnutrun_types::{
         AgentHello, Configuration, Contract, FenceReply, Finished, JobRef, JobSpec, KnownAgents,
@@ -166,7 +166,7 @@
     owner.link(1, 1, &[]);
     let submit = submission(owner.now, 1);
     owner.submit(submit);
-    let later = owner.advance(2 * LEASE);
+    let later = owner.advance(2 * OWNERSHIP_LEASE);
     assert_eq!(
         starts(&later),
         [],
@@ -195,7 +195,7 @@
 #[rstest]
 fn a_voided_start_can_be_sent_again(mut owner: Owner) {
     owner.link(0, 1, &[]);
-    owner.advance(LEASE + CLOCK_DRIFT_MARGIN);
+    owner.advance(OWNERSHIP_LEASE + CLOCK_DRIFT_MARGIN);
     let mut submit = submission(owner.now, 1);
     submit.may_be_older = false;
     let first = starts(&owner.submit(submit)).remove(0);
--- a/crates/decisions/tests/policy.rs
+++ b/crates/decisions/tests/policy.rs
@@ -1,17 +1,19 @@
-//! Policies on a handed-in clock.
+//! The size-aware policy and slots, on a simulated clock.
 
 use {
-    chestnutrun_decisions::policy::{EndpointSlots, Policy, SizeAware, SlotUse, Slots, Waiting},
+    chestnutrun_decisions::policy::{
+        EndpointSlots, Policy, SizeAware, SlotUse, Slots, WaitingTask,
+    },
     chestnutrun_types::{Configuration, Contract, EndpointId, Now, Overflow, TaskRef},
     rstest::rstest,
     std::time::{Duration, Instant, SystemTime},
 };
 
-/// A policy with one fake endpoint.
+/// A policy with one simulated endpoint.
 struct Bench {
     policy: SizeAware,
     slots: Slots,
-    free: EndpointSlots,
+    endpoint_slots: EndpointSlots,
     now: Now,
     submitted: u16,
 }
@@ -30,7 +32,7 @@
         let mut bench = Self {
             policy,
             slots: Slots::default(),
-            free: EndpointSlots {
+            endpoint_slots: EndpointSlots {
                 total,
                 taken: 0,
                 usable: true,
@@ -42,14 +44,14 @@
             },
             submitted: 0,
         };
-        bench.take(0);
+        bench.change_taken(0);
         bench
     }
 
-    fn take(&mut self, change: i64) {
-        let taken = i64::from(self.free.taken) + change;
-        self.free.taken = u32::try_from(taken).expect("slots are not freed twice");
-        self.slots.set(&endpoint(), self.free);
+    fn change_taken(&mut self, change: i64) {
+        let taken = i64::from(self.endpoint_slots.taken) + change;
+        self.endpoint_slots.taken = u32::try_from(taken).expect("slots are not freed twice");
+        self.slots.set(&endpoint(), self.endpoint_slots);
     }
 
     fn submit(&mut self, contract: &str, kind: &str, declared: Duration) -> TaskRef {
@@ -69,7 +71,7 @@
             key: "job".into(),
             index: self.submitted,
         };
-        let waiting = Waiting {
+        let waiting = WaitingTask {
             task: task.clone(),
             kind: kind.into(),
             declared_run_time: declared,
@@ -83,7 +85,7 @@
 
     fn start(&mut self) -> Option<TaskRef> {
         let (waiting, _) = self.policy.next(self.now, &self.slots)?;
-        self.take(1);
+        self.change_taken(1);
         Some(waiting.task)
     }
 
@@ -93,18 +95,18 @@
 
     fn end(&mut self, task: &TaskRef) {
         self.policy.release(self.now, task, SlotUse::Completed);
-        self.take(-1);
+        self.change_taken(-1);
     }
 
-    fn pass(&mut self, by: Duration) {
+    fn advance(&mut self, by: Duration) {
         self.now = self.now.later(by);
     }
 
-    /// Runs one task of a kind to its end.
+    /// Submits a task of a kind and runs it to its end.
     fn run(&mut self, contract: &str, kind: &str, run_time: Duration) {
         self.submit(contract, kind, run_time);
         let task = self.start().expect("a slot is free");
-        self.pass(run_time);
+        self.advance(run_time);
         self.end(&task);
     }
 }
@@ -151,7 +153,7 @@
 fn long_tasks_take_every_slot_where_nothing_short_comes() {
     let mut bench = Bench::new(8, &[open("a")]);
     bench.run("a", "check", SHORT);
-    bench.pass(Duration::from_mins(1));
+    bench.advance(Duration::from_mins(1));
     for _ in 0..20 {
         bench.submit("a", "letter", LONG);
     }
@@ -162,12 +164,12 @@
 #[case::declared_too_long(SHORT, LONG, "check")]
 #[case::declared_too_short(LONG, SHORT, "other")]
 fn the_class_follows_the_learned_run_time(
-    #[case] really: Duration,
+    #[case] actual: Duration,
     #[case] declared: Duration,
     #[case] first: &str,
 ) {
     let mut bench = Bench::new(1, &[open("a")]);
-    bench.run("a", "check", really);
+    bench.run("a", "check", actual);
     bench.run("a", "other", Duration::from_millis(100));
     bench.submit("a", "check", declared);
     bench.submit("a", "other", declared);
@@ -200,7 +202,7 @@
         bench.submit("a", "check", SHORT);
     }
     assert_eq!(bench.start_all().len(), 3);
-    bench.pass(Duration::from_secs(1));
+    bench.advance(Duration::from_secs(1));
     for _ in 0..20 {
         bench.submit("a", "letter", LONG);
     }
@@ -222,7 +224,7 @@
     let borrowed = bench.start_all();
     assert_eq!(borrowed.len(), 4);
     let of_b: Vec<TaskRef> = (0..2).map(|_| bench.submit("b", "check", SHORT)).collect();
-    bench.pass(SHORT);
+    bench.advance(SHORT);
     for task in &borrowed[..2] {
         bench.end(task);
     }
@@ -244,7 +246,7 @@
     for _ in 0..100 {
         let started = bench.start_all();
         of_a += started.iter().filter(|task| &*task.contract == "a").count();
-        bench.pass(SHORT);
+        bench.advance(SHORT);
         for task in &started {
             bench.end(task);
         }
@@ -270,7 +272,7 @@
     let removed = bench.submit("a", "check", SHORT);
     assert!(bench.policy.remove(&removed).is_some());
     let late = bench.submit("a", "check", SHORT);
-    bench.pass(Duration::from_mins(2));
+    bench.advance(Duration::from_mins(2));
     let expired: Vec<TaskRef> = bench
         .policy
         .expire(bench.now)
@@ -314,8 +316,8 @@
     for _ in 0..100 {
         bench.submit("a", "check", SHORT);
     }
-    let drains_in = bench.policy.drains_in(bench.now, &"a".into());
-    let seconds = drains_in.expect("the rate is known").as_secs_f64();
+    let time_to_drain = bench.policy.time_to_drain(bench.now, &"a".into());
+    let seconds = time_to_drain.expect("the rate is known").as_secs_f64();
     assert!(
         (4.5..=5.5).contains(&seconds),
         "{seconds} s for 100 tasks of 50 ms"
@@ -329,10 +331,10 @@
         bench.submit("a", "check", SHORT);
     }
     let lost = bench.start_all();
-    bench.pass(Duration::from_secs(10));
+    bench.advance(Duration::from_secs(10));
     for task in &lost {
         bench.policy.release(bench.now, task, SlotUse::Unknown);
-        bench.take(-1);
+        bench.change_taken(-1);
     }
     let mut of_a = 0;
     for _ in 0..80 {
@@ -342,7 +344,7 @@
     for _ in 0..20 {
         let started = bench.start_all();
         of_a += started.iter().filter(|task| &*task.contract == "a").count();
-        bench.pass(SHORT);
+        bench.advance(SHORT);
         for task in &started {
             bench.end(task);
         }
--- a/crates/dispatch/src/entry_loop.rs
+++ b/crates/dispatch/src/entry_loop.rs
@@ -207,7 +207,7 @@
             answer_by,
             exit_by: answer_by + ANSWER_MARGIN,
         });
-        self.handle_input(DispatchInput::AnswerBy(answer_by));
+        self.handle_input(DispatchInput::AnswerAllBy(answer_by));
         ntex::rt::spawn(self.directory.deregister(self.me.clone()));
     }
 
@@ -268,7 +268,7 @@
             }
             CallerEvent::Disconnected(caller) => {
                 if self.callers.swap_remove(&caller).is_some() {
-                    self.handle_input(DispatchInput::Gone(caller));
+                    self.handle_input(DispatchInput::CallerDisconnected(caller));
                 }
             }
             CallerEvent::Cancel(job, reply) => {
@@ -431,7 +431,7 @@
     ) {
         let input = match message {
             Message::Resync(resync) => DispatchInput::AgentUp(agent, incarnation, resync),
-            Message::Endpoint(info) => DispatchInput::Endpoint(agent, info),
+            Message::Endpoint(info) => DispatchInput::EndpointChanged(agent, info),
             Message::Update(update) => DispatchInput::Update(agent, update),
             other => {
                 log::warn!("ignored message {}, which no agent sends", other.kind());
@@ -463,7 +463,7 @@
 
     fn run_action(&mut self, action: DispatchAction) {
         match action {
-            DispatchAction::Note(note) => self.recorder.record(Now::read(), note),
+            DispatchAction::Record(note) => self.recorder.record(Now::read(), note),
             DispatchAction::Answer(caller, _, outcome) => {
                 if let Some(reply) = self.callers.swap_remove(&caller) {
                     // Sending fails if the caller disconnected.
