--- a/crates/types/src/answer.rs
+++ b/crates/types/src/answer.rs
@@ -9,22 +9,22 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskOutcome {
-    /// It ran once, and this is its output.
+    /// The task ran once and returned this output.
     Completed(String),
-    /// It ran, and the endpoint reported an error.
+    /// The task ran, and the endpoint reported this error.
     FailedWhileRunning(String),
-    /// It did not run and never will.
+    /// The task did not run and never will, for this reason.
     NotRun(RefusalReason),
-    /// It may have run; nothing can be proved.
+    /// The task may have run; no record proves either case.
     OutcomeUnknown,
-    /// It was cancelled before it started.
+    /// The task was cancelled before it started.
     Cancelled,
-    /// The job's deadline passed before it started.
+    /// The job's deadline passed before the task started.
     DeadlinePassed,
 }
 
 impl TaskOutcome {
-    /// Whether it says that the task did not run.
+    /// Returns whether the outcome guarantees that the task did not run.
     #[must_use]
     pub fn is_not_run(&self) -> bool {
         matches!(
@@ -33,21 +33,21 @@
         )
     }
 
-    /// Whether the task completed.
+    /// Returns whether the task completed.
     #[must_use]
     pub fn is_completed(&self) -> bool {
         matches!(self, Self::Completed(_))
     }
 }
 
-/// One task's part of a job's answer.
+/// The answer for one task of a job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TaskAnswer {
     /// How the task ended.
     pub outcome: TaskOutcome,
 }
 
-/// Whether every task of a job completed.
+/// Combined result of all tasks of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobStatus {
@@ -57,23 +57,24 @@
     Failed,
 }
 
-/// The whole answer of a job, in the order of its submission.
+/// The answer that a caller receives once a job ended.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobAnswer {
-    /// Complete or failed, never partial.
+    /// `Complete` where every task completed, else `Failed`.
     pub status: JobStatus,
-    /// One answer for each task of the submission.
+    /// One answer for each task, in the order of the submission.
     pub tasks: Vec<TaskAnswer>,
 }
 
 impl JobAnswer {
-    /// Whether it says of a task that it did not run.
+    /// Returns whether the answer says of at least one task that it did not run.
     #[must_use]
     pub fn has_task_not_run(&self) -> bool {
         self.tasks.iter().any(|task| task.outcome.is_not_run())
     }
 
-    /// Builds the answer from the outcome of every task.
+    /// Creates the answer from the outcome of every task, in the order of the
+    /// submission.
     #[must_use]
     pub fn new(outcomes: impl IntoIterator<Item = TaskOutcome>) -> Self {
         let tasks: Vec<TaskAnswer> = outcomes
--- a/crates/types/src/assignment.rs
+++ b/crates/types/src/assignment.rs
@@ -1,4 +1,4 @@
-//! What an entry asks of an agent for one job.
+//! Assignments: tasks of one job that an entry gives to an agent.
 
 use {
     crate::{AssignmentId, JobId, Room, RunNumber, StepIndex, TaskIndex},
@@ -6,21 +6,21 @@
     std::{fmt, sync::Arc, time::Duration},
 };
 
-/// Position of a task within its job.
+/// Position of a task within its job: the step, and the task in that step.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct StepTask {
-    /// The step.
+    /// Index of the step in the job.
     pub step: StepIndex,
-    /// The task within the step.
+    /// Index of the task in the step.
     pub index: TaskIndex,
 }
 
-/// Names one task of a best-effort job.
+/// Identifies one task of a best-effort job.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// The task within the job.
+    /// Position of the task in the job.
     pub at: StepTask,
 }
 
@@ -33,35 +33,38 @@
 /// One task of an assignment.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AssignedTask {
-    /// The task within the job.
+    /// Position of the task in the job.
     pub at: StepTask,
-    /// What it needs.
+    /// Resources that the task needs.
     pub need: Room,
-    /// Run time that the entry expects on a sound endpoint.
+    /// Run time that the entry expects on a healthy endpoint.
     pub expected: Duration,
 }
 
-/// Tasks of one job that an agent shall start.
+/// Asks an agent to start tasks of one job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Assignment {
-    /// Number of the assignment; grows within a run of the entry.
+    /// Number of the assignment; it grows with each assignment that an entry
+    /// sends between two restarts.
     pub id: AssignmentId,
-    /// The job.
+    /// The job that the tasks belong to.
     pub job: JobId,
-    /// Input of the tasks.
+    /// Input that every task gets.
     pub payload: Arc<str>,
-    /// Highest number of an earlier start of one of the tasks; 0 for none.
+    /// Highest run number that the entry knows for the job; the agent numbers
+    /// its starts above it. 0 where no task of the job has started.
     pub after_run: RunNumber,
-    /// How long the tasks may wait at the agent for room; counted from the
-    /// moment at which the agent reads the message.
+    /// How long the tasks may wait at the agent for free resources, counted
+    /// from the moment at which the agent reads the message.
     pub start_within: Duration,
-    /// The tasks.
+    /// The tasks to start.
     pub tasks: Vec<AssignedTask>,
 }
 
-/// Takes assignments back: what waits is dropped, what runs is stopped.
+/// Cancels assignments: the agent drops tasks that wait and stops tasks that
+/// run.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Revocation {
-    /// The assignments.
+    /// The assignments to cancel.
     pub assignments: Vec<AssignmentId>,
 }
--- a/crates/types/src/best_effort_job.rs
+++ b/crates/types/src/best_effort_job.rs
@@ -1,4 +1,5 @@
-//! Jobs that are held by the entry that took them, and answered when they end.
+//! Best-effort jobs: the entry that accepts one keeps it in memory and answers
+//! the caller when it ends.
 
 use {
     crate::{JobId, StepSpec},
@@ -7,13 +8,13 @@
     thiserror::Error,
 };
 
-/// Longest payload of a job, in bytes; the platform's limit.
+/// Longest payload of a job, in bytes, as the platform limits it.
 pub const MAX_PAYLOAD_BYTES: usize = 4_000;
 
-/// Most tasks of all steps; wider jobs than the target's 170 are refused.
+/// Most tasks that a job may have over all of its steps; the target is 170.
 pub const MAX_STEP_TASKS: usize = 1_000;
 
-/// Why a job is not valid.
+/// Why a best-effort job is not valid.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum BestEffortJobError {
     /// The id is not 16 hexadecimal digits.
@@ -22,35 +23,37 @@
     /// The payload is too long.
     #[error("payload of {0} bytes is longer than {MAX_PAYLOAD_BYTES} bytes")]
     Payload(usize),
-    /// There is nothing to run.
+    /// The job has no steps, or a step has no tasks.
     #[error("job has no task")]
     Empty,
-    /// There are too many tasks.
+    /// The steps have too many tasks in total.
     #[error("job has {0} tasks, more than {MAX_STEP_TASKS}")]
     TooManyTasks(usize),
-    /// A step waits for itself, for a later step or for one that is not there.
+    /// A step depends on itself, on a later step or on a step that does not
+    /// exist.
     #[error("step {0} waits for step {1}, which is not an earlier one")]
     Order(usize, u16),
 }
 
-/// A job that its entry holds until it ends.
+/// A job that its entry keeps in memory until the job ends.
 ///
-/// It is not stored: where the entry dies, the caller submits it again.
+/// The job is not stored: if the entry dies, the caller has to submit the job
+/// again.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct BestEffortJob {
-    /// The caller's name of the job.
+    /// Id that the caller chose for the job.
     pub id: JobId,
-    /// Input that every task gets, untouched.
+    /// Input that every task gets unchanged.
     pub payload: Arc<str>,
-    /// The steps.
+    /// The steps; a step may depend only on steps before it in this list.
     pub steps: Vec<StepSpec>,
 }
 
 impl BestEffortJob {
-    /// Checks the job as a whole.
+    /// Checks the id, the payload, the number of tasks and the order of steps.
     ///
     /// # Errors
-    /// Returns the first rule that it breaks.
+    /// Returns the first rule that the job breaks.
     pub fn check(&self) -> Result<(), BestEffortJobError> {
         if self.id.len() != 16 || !self.id.bytes().all(|b| b.is_ascii_hexdigit()) {
             return Err(BestEffortJobError::Id(self.id.to_string()));
--- a/crates/types/src/configuration.rs
+++ b/crates/types/src/configuration.rs
@@ -1,4 +1,5 @@
-//! What operators change: contracts and drains.
+//! The configuration that operators change at run time: contracts and drained
+//! endpoints.
 
 use {
     crate::{Contract, ContractId, EndpointId, Revision, TableRow},
@@ -11,39 +12,39 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainState {
-    /// The endpoint serves.
+    /// The endpoint accepts new work.
     Serving,
     /// The endpoint gets no new work.
     Draining,
 }
 
-/// Revisions of the rows of a configuration.
+/// Revisions of the table rows that a configuration was read from.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct RowRevisions {
-    /// Revision of each contract's row.
+    /// Revision of the row of each contract.
     pub contracts: IndexMap<ContractId, Revision>,
-    /// Revision of each drain's row.
+    /// Revision of the drain row of each endpoint.
     pub drains: IndexMap<EndpointId, Revision>,
 }
 
-/// The whole configuration at one revision of the platform's table.
+/// Contracts and drained endpoints at one revision of the platform's table.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Configuration {
-    /// Highest revision among its rows.
+    /// Highest revision among the rows.
     pub revision: Revision,
     /// Contracts by name.
     pub contracts: IndexMap<ContractId, Contract>,
-    /// Endpoints that operators drained.
+    /// Drain state of each endpoint that has a drain row.
     pub drains: IndexMap<EndpointId, DrainState>,
-    /// Revisions of its rows.
+    /// Revision of each row, which decides in [`Self::merge`] which is newer.
     pub rows: Box<RowRevisions>,
 }
 
 impl Configuration {
-    /// Returns what one accepted write changed; nothing where the row is none
-    /// of a configuration.
+    /// Creates a configuration that holds only the row of one accepted write; it
+    /// holds no row where the written row is neither a contract nor a drain.
     #[must_use]
     pub fn of_row(row: TableRow, revision: Revision) -> Self {
         let mut configuration = Self {
@@ -69,19 +70,21 @@
         configuration
     }
 
-    /// Takes each row that is newer than the own one, so that what was known
-    /// never reverts, whatever order news come in; returns whether any was.
+    /// Copies each row of `other` that has a higher revision than the own one;
+    /// returns whether anything changed.
+    ///
+    /// A row therefore never reverts, whatever order updates arrive in.
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut is_changed = other.revision > self.revision;
         self.revision = self.revision.max(other.revision);
         for (id, contract) in &other.contracts {
-            if raise(&mut self.rows.contracts, id, other.rows.contracts.get(id)) {
+            if raise_revision(&mut self.rows.contracts, id, other.rows.contracts.get(id)) {
                 self.contracts.insert(id.clone(), contract.clone());
                 is_changed = true;
             }
         }
         for (endpoint, state) in &other.drains {
-            if raise(
+            if raise_revision(
                 &mut self.rows.drains,
                 endpoint,
                 other.rows.drains.get(endpoint),
@@ -93,7 +96,7 @@
         is_changed
     }
 
-    /// Returns the part that the agent of an endpoint needs.
+    /// Returns the part that the agent of an endpoint needs: its drain state.
     #[must_use]
     pub fn for_endpoint(&self, endpoint: &EndpointId) -> Self {
         let mut part = Self {
@@ -109,15 +112,16 @@
         part
     }
 
-    /// Whether operators drained the endpoint.
+    /// Returns whether operators drained the endpoint.
     #[must_use]
     pub fn is_draining(&self, endpoint: &str) -> bool {
         self.drains.get(endpoint) == Some(&DrainState::Draining)
     }
 }
 
-/// Raises the revision of a row; returns whether it was lower or unknown.
-fn raise<K: Clone + Eq + Hash>(
+/// Records the revision of a row if it is higher than the recorded one, or if
+/// none is recorded; returns whether it did.
+fn raise_revision<K: Clone + Eq + Hash>(
     known: &mut IndexMap<K, Revision>,
     key: &K,
     revision: Option<&Revision>,
--- a/crates/types/src/contract.rs
+++ b/crates/types/src/contract.rs
@@ -1,4 +1,4 @@
-//! Contracts: what each customer may ask of the site.
+//! Contracts: limits and share of the site's slots for each customer.
 
 use {
     crate::ContractId,
@@ -8,33 +8,33 @@
     thiserror::Error,
 };
 
-/// What happens to demand beyond the contract's share.
+/// What happens to tasks beyond the contract's share.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Overflow {
-    /// It waits in the contract's queue.
+    /// The task waits in the contract's queue.
     Queue,
-    /// It is refused at once.
+    /// The task is refused at once.
     Refuse,
-    /// It runs on slots that no other contract within its share wants.
+    /// The task runs on slots that no other contract needs within its share.
     Borrow,
 }
 
-/// A contract between a customer and the operators.
+/// A contract of a customer, as operators configure it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Contract {
-    /// Name of the contract.
+    /// Name of the contract: 1 to 64 characters of `a-z0-9-`.
     pub id: ContractId,
     /// Most tasks that run at once within the share.
     pub in_flight_limit: u32,
-    /// Most tasks that wait.
+    /// Most tasks that wait in the contract's queue.
     pub queue_limit: u32,
-    /// Urgency against other contracts; higher goes first.
+    /// Urgency relative to other contracts; a higher one goes first.
     pub urgency: u8,
-    /// Share of the slots against other contracts of the same urgency.
+    /// Share of the slots relative to other contracts of the same urgency.
     pub weight: u32,
-    /// What happens beyond the share.
+    /// What happens to tasks beyond the share.
     pub overflow: Overflow,
     /// SHA-256 of the caller's token, in hexadecimal digits.
     pub token_hash: String,
@@ -43,10 +43,10 @@
 /// Why a contract is not valid.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum ContractError {
-    /// The name is empty, too long or has a wrong character.
+    /// The name is empty, too long or has a character that is not allowed.
     #[error("a contract's name has 1 to 64 characters of a-z 0-9 -, not {0:?}")]
     BadName(ContractId),
-    /// A number that must be positive is zero.
+    /// The named field is zero but must be positive.
     #[error("{0} must be at least 1")]
     Zero(&'static str),
     /// The token's hash is not a SHA-256 in hexadecimal digits.
@@ -61,7 +61,7 @@
 const MAX_NAME_CHARACTERS: usize = 64;
 
 impl Contract {
-    /// Starts to build a contract.
+    /// Starts to build a contract with default limits and no token hash.
     pub fn builder(id: impl Into<ContractId>) -> ContractBuilder {
         ContractBuilder {
             contract: Self {
@@ -87,7 +87,7 @@
         digits
     }
 
-    /// Checks what the types cannot express.
+    /// Checks the name, the limits and the token hash.
     ///
     /// # Errors
     /// Returns the first rule that the contract breaks.
@@ -125,28 +125,28 @@
         self
     }
 
-    /// Sets the most tasks that wait.
+    /// Sets the most tasks that wait in the contract's queue.
     #[must_use]
     pub fn queue_limit(mut self, limit: u32) -> Self {
         self.contract.queue_limit = limit;
         self
     }
 
-    /// Sets the urgency against other contracts.
+    /// Sets the urgency relative to other contracts.
     #[must_use]
     pub fn urgency(mut self, urgency: u8) -> Self {
         self.contract.urgency = urgency;
         self
     }
 
-    /// Sets the share of the slots against contracts of the same urgency.
+    /// Sets the share of the slots relative to contracts of the same urgency.
     #[must_use]
     pub fn weight(mut self, weight: u32) -> Self {
         self.contract.weight = weight;
         self
     }
 
-    /// Sets what happens beyond the share.
+    /// Sets what happens to tasks beyond the share.
     #[must_use]
     pub fn overflow(mut self, overflow: Overflow) -> Self {
         self.contract.overflow = overflow;
@@ -160,7 +160,7 @@
         self
     }
 
-    /// Returns the contract, checked.
+    /// Checks the contract and returns it.
     ///
     /// # Errors
     /// Returns the first rule that the contract breaks.
--- a/crates/types/src/decision_note.rs
+++ b/crates/types/src/decision_note.rs
@@ -1,4 +1,4 @@
-//! What a process decided, and on what.
+//! Events of the structured log: what a process decided, and on which facts.
 
 use {
     crate::{
@@ -9,30 +9,32 @@
     std::borrow::Cow,
 };
 
-/// One decision that touches a job or changes what a process believes.
+/// An event of the structured log: a decision about a job, or a change in what
+/// the process knows of other processes and of its settings.
 ///
-/// Times are in whole milliseconds, processor in thousandths of a core.
+/// Fields in `_ms` are in whole milliseconds, those in `_cpu_millis` in
+/// thousandths of a core.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum DecisionNote {
-    /// An entry took a job in.
+    /// An entry accepted a job.
     JobTaken {
         /// The job.
         job: JobId,
-        /// Its route.
+        /// Route of the job.
         route: RouteId,
-        /// Number of its tasks.
+        /// Number of the job's tasks.
         tasks: usize,
-        /// Longest chain of work that is expected.
+        /// Expected run time of the longest chain of steps.
         chain_ms: u64,
-        /// How long its first tasks may wait to be in time.
+        /// How long the first tasks may wait if the job is to meet its objective.
         slack_ms: u64,
-        /// How long its caller waits.
+        /// How long the caller still waits for the answer.
         caller_waits_ms: u64,
-        /// Jobs that the entry holds, this one among them.
+        /// Number of jobs that the entry holds, including this one.
         held: usize,
     },
-    /// An entry gave tasks of a job to an agent.
+    /// An entry assigned tasks of a job to an agent.
     TasksPlaced {
         /// The job.
         job: JobId,
@@ -40,97 +42,99 @@
         agent: AgentId,
         /// Number of the assignment.
         assignment: AssignmentId,
-        /// Number of tasks.
+        /// Number of tasks in the assignment.
         tasks: usize,
-        /// Time since the job came.
+        /// Time since the entry accepted the job.
         after_ms: u64,
-        /// Processor that the agent had free, as the entry knew.
+        /// Free processor of the endpoint, as the agent last reported it.
         free_cpu_millis: u32,
-        /// Age of that knowledge.
+        /// Age of that report.
         report_age_ms: u64,
     },
-    /// A task came back to its entry undone.
+    /// An agent returned a task that did not complete.
     TaskReturned {
         /// The job.
         job: JobId,
         /// The task.
         task: StepTask,
-        /// The agent that had it.
+        /// The agent to which the task was assigned.
         agent: AgentId,
-        /// Number of the start; 0 where there was none.
+        /// Number of the start; 0 where the task did not start.
         run: RunNumber,
-        /// How it ended.
+        /// How the task ended at the agent.
         how: EndKind,
-        /// How long it ran.
+        /// How long the task ran.
         ran_ms: u64,
     },
-    /// An entry told a caller how its job ended.
+    /// An entry sent a caller the answer of a job.
     JobAnswered {
         /// The job.
         job: JobId,
-        /// Its route.
+        /// Route of the job.
         route: RouteId,
-        /// What the caller was told.
+        /// Outcome in the answer.
         outcome: Cow<'static, str>,
-        /// Time since the job came.
+        /// Time since the entry accepted the job.
         took_ms: u64,
-        /// Time until its first task was placed; none where none was.
+        /// Time until the first task was placed; none where no task was placed.
         placed_after_ms: Option<u64>,
-        /// Tasks that ran to their end.
+        /// Number of tasks that ran to their end.
         done: usize,
-        /// Tasks that an agent had or may have had at that moment.
+        /// Number of tasks that an agent has or may have at the time of the
+        /// answer.
         at_agents: usize,
-        /// Tasks that came back undone.
+        /// Number of times that an agent returned a task that did not complete.
         returned: u32,
     },
     /// An entry has no route for a request.
     RouteNotFound {
-        /// Host that the request names.
+        /// Host of the request.
         host: String,
-        /// Its path.
+        /// Path of the request.
         path: String,
         /// Version of the routing table in force.
         routing_version: RoutingVersion,
     },
-    /// An entry dropped a job whose caller went away.
+    /// An entry dropped a job because its caller disconnected.
     CallerGone {
         /// The job.
         job: JobId,
-        /// Time since the job came.
+        /// Time since the entry accepted the job.
         took_ms: u64,
     },
-    /// An agent's link opened and the agent told what it has.
+    /// An agent's link opened and the agent sent its first message.
     AgentLinked {
         /// The agent.
         agent: AgentId,
-        /// Run of the agent.
+        /// Number of the agent's run.
         incarnation: Incarnation,
-        /// Its endpoint, where it can be used.
+        /// The agent's endpoint; none where it cannot be used.
         endpoint: Option<EndpointId>,
-        /// Tasks of this entry that it has.
+        /// Number of this entry's tasks that wait or run at the agent.
         live: usize,
     },
-    /// An agent is out of reach; what it had is in doubt.
+    /// An entry lost contact with an agent, so that it no longer knows the state
+    /// of the tasks there.
     AgentLost {
         /// The agent.
         agent: AgentId,
-        /// Tasks that are in doubt.
+        /// Number of tasks whose state is unknown.
         in_doubt: usize,
     },
-    /// An agent's endpoint can be used, or no longer.
+    /// An agent reported that its endpoint can be used, or no longer can.
     EndpointChanged {
         /// The agent.
         agent: AgentId,
-        /// The endpoint; none where it is gone.
+        /// The endpoint; none where it can no longer be used.
         endpoint: Option<EndpointId>,
-        /// Run of the endpoint.
+        /// Number of the endpoint's run.
         incarnation: Incarnation,
-        /// Its pool.
+        /// Pool of the endpoint.
         service: Option<ServiceId>,
-        /// Its processor.
+        /// Processor of the endpoint, used and free.
         cpu_millis: u32,
     },
-    /// An agent sent a start to its endpoint.
+    /// An agent asked its endpoint to start a task.
     TaskStarted {
         /// The job.
         job: JobId,
@@ -138,16 +142,16 @@
         task: StepTask,
         /// Number of the start.
         run: RunNumber,
-        /// The entry that assigned it.
+        /// The entry that assigned the task.
         entry: EntryId,
         /// Number of the assignment.
         assignment: AssignmentId,
-        /// Time for which it waited at the agent.
+        /// How long the task waited at the agent.
         waited_ms: u64,
-        /// Processor that was free.
+        /// Free processor of the endpoint.
         free_cpu_millis: u32,
     },
-    /// The endpoint did not start a run.
+    /// An endpoint did not start a task that its agent asked it to start.
     StartRefused {
         /// The job.
         job: JobId,
@@ -155,10 +159,10 @@
         task: StepTask,
         /// Number of the start.
         run: RunNumber,
-        /// What the endpoint answered; `no-answer` where nothing came.
+        /// The endpoint's answer; `no-answer` where it did not answer.
         reason: Cow<'static, str>,
     },
-    /// An agent has a run stopped.
+    /// An agent asked its endpoint to stop a task.
     TaskStopped {
         /// The job.
         job: JobId,
@@ -166,89 +170,92 @@
         task: StepTask,
         /// Number of the start.
         run: RunNumber,
-        /// Why.
+        /// Why the task is stopped.
         reason: Cow<'static, str>,
-        /// Progress that was last seen, in percent.
+        /// Last known progress of the task, in percent.
         percent: u32,
     },
-    /// A task at an agent is over.
+    /// A task ended at an agent.
     TaskEnded {
         /// The job.
         job: JobId,
         /// The task.
         task: StepTask,
-        /// Number of the start; 0 where there was none.
+        /// Number of the start; 0 where the task did not start.
         run: RunNumber,
-        /// How it ended.
+        /// How the task ended.
         how: EndKind,
-        /// How long it ran.
+        /// How long the task ran.
         ran_ms: u64,
     },
-    /// The endpoint announced itself for the first time, leaves or is gone.
+    /// An agent learned that its endpoint started, leaves or is lost.
     EndpointNews {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Run of the endpoint.
+        /// Number of the endpoint's run.
         incarnation: Incarnation,
-        /// What happened.
+        /// What happened to the endpoint.
         news: Cow<'static, str>,
     },
-    /// An entry counts as dead; what it assigned is stopped.
+    /// An agent considers an entry dead and stops the tasks that it assigned.
     EntryLost {
         /// The entry.
         entry: EntryId,
-        /// Its tasks.
+        /// Number of tasks that are stopped.
         tasks: usize,
-        /// Age of the last proof that it lived.
+        /// Time since the agent last knew the entry to be alive.
         proof_age_ms: u64,
     },
-    /// A routing table is in force.
+    /// The process started to use another routing table.
     RoutingInForce {
-        /// Its version.
+        /// Version of the table.
         version: RoutingVersion,
-        /// Version that it replaced.
+        /// Version that the table replaced.
         replaced: RoutingVersion,
-        /// Who brought it.
+        /// Where the table came from.
         source: Cow<'static, str>,
     },
-    /// The directory answered a read, or a feed that moved on or lost its place.
+    /// The directory answered a read, or a feed request with changes or with the
+    /// reply that it no longer keeps the requested revision.
     DirectoryAnswer {
-        /// What was called: `read` or `feed`.
+        /// Which request was answered: `read` or `feed`.
         call: Cow<'static, str>,
-        /// How it ended: `done` or `history-gone`.
+        /// Result of the request: `done` or `history-gone`.
         outcome: Cow<'static, str>,
-        /// Revision after which a feed was to go on.
+        /// Revision after which the feed was to continue; none for a read.
         after: Option<Revision>,
         /// Revision that the directory names as its newest.
         directory_revision: Option<Revision>,
-        /// Revision at which the routing table was written, where it came.
+        /// Revision at which the routing table was written; none where the answer
+        /// has no table.
         row_revision: Option<Revision>,
-        /// Version of the routing table, where it came and can be read.
+        /// Version of the routing table; none where the answer has no table that
+        /// is valid.
         routing_version: Option<RoutingVersion>,
     },
-    /// Something that the process depends on was lost or is back.
+    /// The process lost or regained a dependency.
     Dependency {
-        /// What.
+        /// The dependency, such as `directory` or `entry-link`.
         name: Cow<'static, str>,
-        /// Whether it is there.
+        /// Whether the dependency is available.
         is_there: bool,
     },
-    /// The process started, reloads, leaves or ends.
+    /// The process started, reloaded its settings, leaves or ended.
     Process {
-        /// What happened.
+        /// What happened to the process.
         news: Cow<'static, str>,
-        /// Jobs or tasks that it has.
+        /// Number of jobs or tasks that the process holds.
         held: usize,
     },
-    /// Lines were left out to bound the log.
+    /// Lines were dropped because the log exceeded its rate limit.
     LinesLeftOut {
-        /// How many since the last such line.
+        /// Number of lines dropped since the last such event.
         count: u64,
     },
 }
 
 impl DecisionNote {
-    /// Returns the job that it is about.
+    /// Returns the job that the event refers to; none where there is none.
     #[must_use]
     pub fn job(&self) -> Option<&JobId> {
         match self {
@@ -265,7 +272,7 @@
         }
     }
 
-    /// Returns the name of the event, as it stands in the log.
+    /// Returns the name of the event in the log.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -292,7 +299,8 @@
         }
     }
 
-    /// Whether it tells of something that did not go well, or that is rare.
+    /// Returns whether the event is rare or reports a problem; others are the
+    /// first to be dropped when the log exceeds its rate limit.
     #[must_use]
     pub fn is_remarkable(&self) -> bool {
         match self {
--- a/crates/types/src/endpoint_report.rs
+++ b/crates/types/src/endpoint_report.rs
@@ -1,4 +1,4 @@
-//! What an agent tells entries of its endpoint and of their tasks.
+//! What an agent reports to entries about its endpoint and their tasks.
 
 use {
     crate::{
@@ -8,20 +8,20 @@
     std::time::Duration,
 };
 
-/// What changes rarely about an endpoint.
+/// Properties of an endpoint that rarely change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EndpointInfo {
     /// Name of the endpoint.
     pub endpoint: EndpointId,
-    /// Run of the endpoint.
+    /// Number of the endpoint's current run.
     pub incarnation: Incarnation,
-    /// Pool that it belongs to.
+    /// Pool that the endpoint belongs to.
     pub service: ServiceId,
-    /// Where it runs.
+    /// Availability zone in which the endpoint runs.
     pub zone: ZoneId,
-    /// Its kind, its rack and the like.
+    /// Labels of the endpoint, such as its kind and its rack.
     pub labels: Vec<Label>,
-    /// All of its room.
+    /// Resources of the endpoint, used and free.
     pub total: Room,
 }
 
@@ -29,20 +29,21 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndKind {
-    /// It ran to its end.
+    /// The task ran to its end.
     Done,
-    /// It ran and failed.
+    /// The task ran and failed.
     Failed,
-    /// It did not start, and will not.
+    /// The task did not start and will not.
     NotStarted,
-    /// It ran and was stopped, or its endpoint ended; it does not run any more.
+    /// The task started but no longer runs, since it was stopped or its endpoint
+    /// ended.
     Stopped,
-    /// It made no progress and was stopped.
+    /// The task made no progress and was stopped.
     Stalled,
 }
 
 impl EndKind {
-    /// Returns the name of the kind, as it is written down and counted.
+    /// Returns the name of the kind in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -55,29 +56,30 @@
     }
 }
 
-/// Tells how one assigned task ended.
+/// Reports how one assigned task ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TaskEnd {
-    /// The assignment.
+    /// The assignment that the task belongs to.
     pub assignment: AssignmentId,
-    /// The task within the job.
+    /// Position of the task in the job.
     pub at: StepTask,
-    /// Number of the start; 0 where there was none.
+    /// Number of the start; 0 where the task did not start.
     pub run: RunNumber,
-    /// How it ended.
+    /// How the task ended.
     pub kind: EndKind,
-    /// How long it ran.
+    /// How long the task ran.
     pub ran: Duration,
 }
 
-/// What an agent tells one entry, again and again.
+/// Report of free resources and ended tasks that an agent sends repeatedly to
+/// each entry.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct AgentUpdate {
-    /// Room that neither runs nor waits at the agent.
+    /// Resources of the endpoint that no running or waiting task needs.
     pub free: Room,
-    /// Most tasks that the endpoint takes besides those it has.
+    /// Most tasks that the endpoint accepts beyond those it has.
     pub most_tasks: u16,
-    /// Observed run time over expected run time of the endpoint's tasks.
+    /// Ratio of observed to expected run time of the endpoint's tasks.
     pub slowness: f32,
     /// Newest assignment of this entry that `free` takes into account.
     pub seen: AssignmentId,
@@ -85,13 +87,14 @@
     pub ends: Vec<TaskEnd>,
 }
 
-/// First message of an agent on a link: what it knows of the entry's tasks.
+/// First message of an agent on a link, which reports the state of the entry's
+/// tasks.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Resync {
-    /// The endpoint, once its earlier runs are gone.
+    /// The endpoint; none as long as earlier runs of it may still exist.
     pub info: Option<EndpointInfo>,
     /// Assigned tasks that wait or run.
     pub live: Vec<(AssignmentId, StepTask)>,
-    /// Recent ends, those that were told before among them.
+    /// Recent ends of tasks, including those that were reported before.
     pub ends: Vec<TaskEnd>,
 }
--- a/crates/types/src/exchange.rs
+++ b/crates/types/src/exchange.rs
@@ -10,7 +10,7 @@
     std::time::SystemTime,
 };
 
-/// Hash of a job's contract and key, for long lists of jobs.
+/// Hash of a job's contract and key, which keeps long lists of jobs short.
 pub type KeyHash = u64;
 
 /// First message of an agent on a link: announces its endpoint.
@@ -18,127 +18,132 @@
 pub struct AgentHello {
     /// The endpoint beside the agent.
     pub endpoint: EndpointId,
-    /// Run of the agent.
+    /// Number of the agent's current run.
     pub incarnation: Incarnation,
     /// Shard whose owner may use the endpoint.
     pub shard: ShardId,
-    /// Slots of the endpoint.
+    /// Number of the endpoint's slots.
     pub slots: u32,
-    /// Where the endpoint runs.
+    /// Availability zone in which the endpoint runs.
     pub zone: ZoneId,
-    /// Whether the endpoint is leaving.
+    /// Whether the endpoint is shutting down and gets no new work.
     pub leaving: bool,
 }
 
-/// What is known of the records of one run of an agent.
+/// Where the task records of one run of an agent are.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunRecords {
-    /// The agent has them.
+    /// The agent still has the records.
     AtAgent,
-    /// The agent left, and these are the jobs of which it had started a task.
+    /// The agent has left; these are the jobs of which it had started a task.
     Departed(Vec<KeyHash>),
 }
 
-/// One run of an agent.
+/// One run of an agent, as an entry knows of it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KnownRun {
     /// The endpoint beside the agent.
     pub endpoint: EndpointId,
-    /// Run of the agent.
+    /// Number of the agent's run.
     pub incarnation: Incarnation,
     /// Shard whose owner may use the endpoint.
     pub shard: ShardId,
-    /// Where its records are.
+    /// Where the records of the run are.
     pub records: RunRecords,
 }
 
-/// The runs of agents that an entry knows.
+/// The runs of agents that an entry knows of.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KnownAgents {
-    /// The runs that may hold records.
+    /// The runs that may hold task records.
     pub runs: Vec<KnownRun>,
-    /// Whether no other run can hold records.
+    /// Whether the list is complete, so that no other run holds records.
     pub complete: bool,
 }
 
-/// An entry took note of a new ownership and vouches for no earlier one.
+/// Confirms that an entry has recorded a new ownership and no longer votes for
+/// an earlier one.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Acknowledgement {
-    /// The shard.
+    /// The shard whose owner changed.
     pub shard: ShardId,
-    /// The new ownership.
+    /// Epoch of the new ownership.
     pub epoch: Epoch,
-    /// What it knows of the shard's agents.
+    /// Runs of the shard's agents that the entry knows of.
     pub agents: KnownAgents,
 }
 
-/// An owner that cannot read the table asks whether its ownership is valid.
+/// Asks for a vote: an owner that cannot read the table sends it to the voters of
+/// a shard to learn whether its ownership is still valid.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Vouch {
-    /// Number that the answer repeats.
+    /// Number that the vote repeats.
     pub nonce: Nonce,
-    /// The shard.
+    /// The shard that is owned.
     pub shard: ShardId,
-    /// Number of the ownership.
+    /// Epoch of the ownership.
     pub epoch: Epoch,
 }
 
-/// How an entry knows that an ownership is valid.
+/// What a vote is based on.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Testimony {
-    /// It read the table after the question came.
+    /// The voter read the table after it received the request.
     Read,
-    /// It cannot read the table, and knows of no later ownership.
+    /// The voter cannot read the table and knows of no later ownership.
     Word,
 }
 
-/// Answers [`Vouch`]: the ownership was valid after the question came.
+/// A vote for an ownership, in answer to [`Vouch`]. It states that the ownership
+/// was valid after the voter received the request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Vouched {
-    /// The question.
+    /// The request that the vote answers.
     pub question: Vouch,
-    /// How the entry knows.
+    /// What the vote is based on.
     pub testimony: Testimony,
 }
 
-/// A submission on its way to the owner of its shard.
+/// A submission that an entry forwards to the owner of the job's shard.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Submit {
-    /// Name of the job.
+    /// The job that is submitted.
     pub job: JobRef,
-    /// What is asked for.
+    /// Tasks, deadline and urgency of the job.
     pub spec: JobSpec,
     /// Digest of the submission's body.
     pub digest: BodyDigest,
-    /// Whether an earlier owner may have seen the same key.
+    /// Whether the same key may have reached an owner before, so that tasks of
+    /// the job may already have started.
     pub may_be_older: bool,
-    /// Whether the entry wants to hear at once that the job is accepted.
+    /// Whether the owner shall reply at once when it accepts the job.
     pub wants_receipt: bool,
 }
 
-/// What an owner replies to a submission or to a question for its answer.
+/// Reply of an owner to a submission or to a request for a job's answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// The job ended; this is the whole answer.
+    /// The job ended with this answer.
     Answered(JobAnswer),
     /// The job was refused; nothing of it ran or will run.
     Refused(Refusal),
     /// The key belongs to a submission with another body.
     KeyReused,
-    /// No job of that name is known.
+    /// The owner knows no such job.
     NotFound,
-    /// Nothing is known at the moment; nothing is claimed about earlier tries.
+    /// The owner cannot answer at the moment; an earlier submission of the job
+    /// may have run.
     Unavailable(Refusal),
-    /// The job is accepted and goes on.
+    /// The job is accepted and has not ended.
     Accepted,
 }
 
 impl Reply {
-    /// Whether it says that a task did not run, which only holds as long as no
-    /// later owner gets the same submission.
+    /// Returns whether the reply states that a task did not run. The statement
+    /// holds only as long as no later owner gets the same submission.
     #[must_use]
     pub fn claims_not_run(&self) -> bool {
         match self {
@@ -149,26 +154,26 @@
     }
 }
 
-/// A reply, with what it is about.
+/// A reply with the job, submission and ownership that it refers to.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobReply {
     /// The job.
     pub job: JobRef,
-    /// Digest of the submission that it is about; none where the question
-    /// named no submission and none is known.
+    /// Digest of the submission's body; none where the request named no
+    /// submission and the owner knows none.
     pub digest: Option<BodyDigest>,
-    /// Ownership under which it is said.
+    /// Epoch of the ownership under which the owner replies.
     pub epoch: Epoch,
-    /// What the owner says.
+    /// The owner's reply.
     pub reply: Reply,
 }
 
-/// One of the starts that an owner sent for a task of a job.
+/// Identifies one of the starts that an owner sent for a task of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SentStart {
-    /// The task.
+    /// Position of the task in the job.
     pub index: TaskIndex,
-    /// Which of the starts under the ownership.
+    /// Number of the start under the ownership, from 0.
     pub attempt: Attempt,
 }
 
@@ -177,9 +182,9 @@
 pub struct Lookup {
     /// The job.
     pub job: JobRef,
-    /// Ownership under which the question is asked.
+    /// Epoch of the ownership under which the records are requested.
     pub epoch: Epoch,
-    /// Starts that the agent must never carry out if it has not yet.
+    /// Starts that the agent shall void, unless it has already carried them out.
     pub forgo: Vec<SentStart>,
 }
 
@@ -188,19 +193,19 @@
 pub struct Start {
     /// The task.
     pub task: TaskRef,
-    /// Shard under whose ownership it starts.
+    /// Shard whose owner sends the start.
     pub shard: ShardId,
-    /// Ownership under which it starts.
+    /// Epoch of the ownership under which the start is sent.
     pub epoch: Epoch,
-    /// Which of the starts under that ownership.
+    /// Number of the start under that ownership, from 0.
     pub attempt: Attempt,
     /// Digest of the submission's body.
     pub digest: BodyDigest,
     /// Number of tasks of the job.
     pub total: TaskIndex,
-    /// What to run.
+    /// Kind and input of the task.
     pub spec: TaskSpec,
-    /// Moment after which it must not start.
+    /// Moment after which the task must not start.
     pub deadline: SystemTime,
 }
 
@@ -208,78 +213,83 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StartRefusal {
-    /// The ownership is not the newest that the agent knows.
+    /// The agent knows of a newer ownership of the shard.
     StaleEpoch,
-    /// The ownership was not confirmed within its lease.
+    /// The lease of the ownership expired before it was confirmed again.
     LeaseLapsed,
     /// Every slot is taken.
     NoSlot,
     /// The endpoint is leaving or drained.
     Leaving,
-    /// The deadline passed.
+    /// The deadline of the start has passed.
     DeadlinePassed,
-    /// The owner asked what became of the task before its start arrived.
+    /// The start was voided by a [`Lookup`] that reached the agent before it.
     Forgone,
-    /// The endpoint refused before it started.
+    /// The endpoint refused the task before it started.
     EndpointRefused,
     /// The task was cancelled before it started.
     Cancelled,
-    /// A task of another body under the same key has started there.
+    /// The agent has started a task of a submission with the same key and
+    /// another body.
     KeyReused,
 }
 
-/// Proves that a task did not start on an agent.
+/// States that an agent did not carry out a start.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StartRefused {
     /// The task.
     pub task: TaskRef,
-    /// Ownership under which the start was asked for.
+    /// Epoch of the ownership under which the start was sent.
     pub epoch: Epoch,
-    /// Which of the starts under that ownership.
+    /// Number of the start under that ownership, from 0.
     pub attempt: Attempt,
-    /// Why it did not start.
+    /// Why the task did not start.
     pub reason: StartRefusal,
 }
 
-/// Tells how a started task ended.
+/// Reports how a started task ended.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Finished {
     /// The task.
     pub task: TaskRef,
-    /// Digest of the body that it belongs to.
+    /// Digest of the body of the submission that the task belongs to.
     pub digest: BodyDigest,
-    /// How it ended.
+    /// How the task ended.
     pub outcome: TaskOutcome,
 }
 
-/// Asks an entry which ownerships it holds, confirmed after this was sent.
+/// Asks an entry which ownership it holds, in order to extend the agent's lease.
+///
+/// The entry answers once it has confirmed an ownership after it received this.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Confirm {
     /// Number that the answer repeats.
     pub nonce: Nonce,
-    /// Ownership under which the agent may start work now, if any.
+    /// Epoch under which the agent may start tasks now; none without a lease.
     pub leased: Option<Epoch>,
 }
 
-/// Answers [`Confirm`]: the ownership that was valid after the question came.
+/// Answers [`Confirm`] with an ownership that was valid after the entry received
+/// the request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Confirmation {
-    /// Number of the question.
+    /// Number of the request.
     pub nonce: Nonce,
-    /// Shard that is owned.
+    /// Shard that the entry owns.
     pub shard: ShardId,
-    /// Number of the ownership.
+    /// Epoch of the ownership.
     pub epoch: Epoch,
-    /// Who vouches for the ownership while the table is down.
+    /// Entries that vote for the ownership while the table is down.
     pub voters: Electorate,
 }
 
-/// A new owner asks for records and shuts out every earlier ownership.
+/// Asks an agent to fence every earlier ownership of a shard and to send its
+/// records to the new owner.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Fence {
-    /// The shard.
+    /// The shard whose owner changed.
     pub shard: ShardId,
-    /// The new ownership.
+    /// Epoch of the new ownership.
     pub epoch: Epoch,
     /// The new owner.
     pub owner: EntryId,
@@ -289,9 +299,9 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RecordState {
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It ended.
+    /// The task ended with this outcome.
     Ended(TaskOutcome),
 }
 
@@ -304,30 +314,30 @@
     pub digest: BodyDigest,
     /// Number of tasks of the job.
     pub total: TaskIndex,
-    /// Whether it runs or how it ended.
+    /// Whether the task runs, or how it ended.
     pub state: RecordState,
 }
 
-/// Answers [`Fence`].
+/// Answers [`Fence`] with a summary of the agent's records.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FenceReply {
-    /// The shard.
+    /// The shard of the agent's endpoint.
     pub shard: ShardId,
-    /// The ownership that the agent now takes as the newest.
+    /// Epoch of the newest ownership that the agent knows; it fences lower ones.
     pub epoch: Epoch,
-    /// Tasks that run.
+    /// Records of the tasks that run.
     pub running: Vec<TaskRecord>,
-    /// Jobs of which the agent holds at least one record.
+    /// Jobs of which the agent has at least one record.
     pub jobs: Vec<KeyHash>,
 }
 
-/// An agent's records of one job.
+/// Answers [`Lookup`] with an agent's records of one job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LookupReply {
     /// The job.
     pub job: JobRef,
-    /// The records that the agent holds.
+    /// The agent's records of the job.
     pub records: Vec<TaskRecord>,
-    /// Starts that were asked about and that the agent will never carry out.
+    /// Starts of the request that the agent voided and will never carry out.
     pub forgone: Vec<SentStart>,
 }
--- a/crates/types/src/job.rs
+++ b/crates/types/src/job.rs
@@ -14,17 +14,17 @@
 /// Longest idempotency key, in characters.
 const MAX_KEY_CHARACTERS: usize = 128;
 
-/// Names one job: its contract and the caller's key.
+/// Identifies one job by its contract and the caller's key.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct JobRef {
     /// Contract under which the job was submitted.
     pub contract: ContractId,
-    /// The caller's key.
+    /// Idempotency key that the caller chose.
     pub key: IdempotencyKey,
 }
 
 impl JobRef {
-    /// Returns a hash of the name that is the same in every process.
+    /// Returns a hash of contract and key that is the same in every process.
     #[must_use]
     pub fn key_hash(&self) -> KeyHash {
         let mut buf = Vec::with_capacity(self.contract.len() + self.key.len() + 1);
@@ -34,14 +34,15 @@
         xxh3_64(&buf)
     }
 
-    /// Returns the shard that the job belongs to, out of `shards`.
+    /// Returns the shard that the job belongs to, where there are `shards` of
+    /// them.
     #[must_use]
     pub fn shard(&self, shards: ShardId) -> ShardId {
         let rest = self.key_hash() % KeyHash::from(shards.max(1));
         ShardId::try_from(rest).unwrap_or_default()
     }
 
-    /// Returns the name of the job's task at `index`.
+    /// Returns the reference to the job's task at `index`.
     #[must_use]
     pub fn task(&self, index: TaskIndex) -> TaskRef {
         TaskRef {
@@ -58,18 +59,18 @@
     }
 }
 
-/// What a caller asks for in one submission.
+/// The content of one submission: tasks, deadline and urgency.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobSpec {
     /// The tasks, 1 to [`MAX_TASKS_PER_JOB`].
     pub tasks: Vec<TaskSpec>,
     /// Moment after which no task of the job is started.
     pub deadline: SystemTime,
-    /// Urgency within the contract; higher goes first.
+    /// Urgency within the contract; a higher one goes first.
     pub urgency: u8,
 }
 
-/// Why a submission cannot be a job.
+/// Why a submission is not a valid job.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum JobError {
     /// The job has no task.
@@ -78,7 +79,7 @@
     /// The job has too many tasks.
     #[error("a job has at most {MAX_TASKS_PER_JOB} tasks, this one has {0}")]
     TooManyTasks(usize),
-    /// The key has a wrong length or character.
+    /// The key has a length or a character that is not allowed.
     #[error("an idempotency key has 1 to {MAX_KEY_CHARACTERS} characters of A-Z a-z 0-9 . _ -")]
     BadKey,
     /// A task names no kind.
@@ -87,7 +88,7 @@
 }
 
 impl JobSpec {
-    /// Checks what the types cannot express.
+    /// Checks the number of tasks and that each task names a kind.
     ///
     /// # Errors
     /// Returns the first rule that the job breaks.
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
 //! Core types of the dispatcher: ids, contracts, jobs, tasks, ownership and the
 //! bodies of the messages that processes exchange.
 //!
-//! Nothing here knows how a message is encoded or carried.
+//! The types do not depend on how messages are encoded and transported.
 
 mod answer;
 mod assignment;
--- a/crates/types/src/member.rs
+++ b/crates/types/src/member.rs
@@ -1,4 +1,4 @@
-//! Entries and the ownership of shards, as recorded in the platform's table.
+//! Entries of the site and owners of shards, as recorded in the platform's table.
 
 use {
     crate::{EntryId, Epoch, Incarnation, Revision, ShardId, ZoneId},
@@ -6,33 +6,35 @@
     std::net::SocketAddr,
 };
 
-/// One entry of the site.
+/// An entry of the site, as it registers itself.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
     /// Name of the entry.
     pub entry: EntryId,
-    /// Run of the entry.
+    /// Number of the entry's current run.
     pub incarnation: Incarnation,
-    /// Where peers and agents connect.
+    /// Address at which other entries and agents open links.
     pub inner: SocketAddr,
-    /// Where the entry runs.
+    /// Availability zone in which the entry runs.
     pub zone: ZoneId,
 }
 
 /// The entries of the site at one revision of the platform's table.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct MemberList {
-    /// Revision of the table; a process takes no lower one after a higher one.
+    /// Revision of the table; a process ignores a list with a lower revision
+    /// than the one it has.
     pub revision: Revision,
     /// The entries.
     pub members: Vec<Member>,
 }
 
-/// Entries of which a majority must agree; empty where nobody is asked.
+/// Entries of which a majority must vote for an ownership; empty where no vote
+/// is needed.
 pub type Electorate = Vec<EntryId>;
 
-/// Who owns a shard.
+/// An ownership of a shard, as recorded in the table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardOwner {
@@ -40,12 +42,12 @@
     pub shard: ShardId,
     /// The owning entry.
     pub entry: EntryId,
-    /// Run of the owning entry.
+    /// Number of the owning entry's run.
     pub incarnation: Incarnation,
-    /// Number of this ownership.
+    /// Epoch of this ownership.
     pub epoch: Epoch,
-    /// Who vouches for this ownership while the table is down.
+    /// Entries that vote for this ownership while the table is down.
     pub voters: Electorate,
-    /// Voters of earlier ownerships who may not know of this one yet.
+    /// Voters of earlier ownerships, as long as they may not know of this one.
     pub earlier: Vec<Electorate>,
 }
--- a/crates/types/src/now.rs
+++ b/crates/types/src/now.rs
@@ -1,4 +1,4 @@
-//! The clock reading that is handed to decisions.
+//! The clock reading that front ends pass to the decision code.
 
 use {
     crate::Incarnation,
@@ -9,14 +9,14 @@
     },
 };
 
-/// One reading of both clocks, taken by a front end.
+/// One reading of the monotonic clock and the wall clock, taken by a front end.
 ///
-/// Leases and silences are judged by `instant`; deadlines that travel between
-/// processes are judged by `wall`.
+/// Leases and timeouts are compared with `instant`, deadlines that processes
+/// send each other with `wall`.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// Monotonic clock of this process; it also counts the time for which the
-    /// worker was suspended.
+    /// Monotonic clock of this process, plus the time for which the worker was
+    /// suspended.
     pub instant: Instant,
     /// Wall clock of this worker.
     pub wall: SystemTime,
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Returns the number of a run that begins now: the wall clock, in
-    /// nanoseconds since the epoch.
+    /// Returns the incarnation of a process that starts at this moment: the wall
+    /// clock, in nanoseconds since the Unix epoch.
     #[must_use]
     pub fn incarnation(self) -> Incarnation {
         let since_epoch = self.wall.duration_since(SystemTime::UNIX_EPOCH);
@@ -41,7 +41,7 @@
         Incarnation::try_from(nanoseconds).unwrap_or_default()
     }
 
-    /// Returns the reading that is `by` later on both clocks.
+    /// Returns a reading with both clocks advanced by `by`.
     #[must_use]
     pub fn later(self, by: Duration) -> Self {
         Self {
@@ -53,22 +53,23 @@
 
 /// Returns for how long the worker was suspended since the first call.
 ///
-/// `Instant` stands still while a worker is suspended; a lease at another
-/// worker does not.
+/// `Instant` does not advance while a worker is suspended, but a lease that
+/// another worker granted goes on to expire.
 fn suspended() -> Duration {
-    static AT_FIRST: OnceLock<Duration> = OnceLock::new();
-    let lead = lead_of_boot_clock();
-    lead.saturating_sub(*AT_FIRST.get_or_init(|| lead))
+    static AT_FIRST_CALL: OnceLock<Duration> = OnceLock::new();
+    let total = suspended_since_boot();
+    total.saturating_sub(*AT_FIRST_CALL.get_or_init(|| total))
 }
 
-/// Returns by how much the clock that counts suspension leads the other one.
-fn lead_of_boot_clock() -> Duration {
-    let steady = since_boot(clock_gettime(ClockId::Monotonic));
-    let boot = since_boot(clock_gettime(ClockId::Boottime));
-    boot.saturating_sub(steady)
+/// Returns for how long the worker was suspended since boot: the difference
+/// between `CLOCK_BOOTTIME` and `CLOCK_MONOTONIC`.
+fn suspended_since_boot() -> Duration {
+    let monotonic = to_duration(clock_gettime(ClockId::Monotonic));
+    let boot = to_duration(clock_gettime(ClockId::Boottime));
+    boot.saturating_sub(monotonic)
 }
 
-fn since_boot(time: Timespec) -> Duration {
+fn to_duration(time: Timespec) -> Duration {
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
     let nanoseconds = u32::try_from(time.tv_nsec).unwrap_or_default();
     Duration::new(seconds, nanoseconds)
--- a/crates/types/src/refusal.rs
+++ b/crates/types/src/refusal.rs
@@ -1,11 +1,11 @@
-//! Refusals: work that truly did not run.
+//! Refusals of submissions of which nothing has run.
 
 use {
     serde::{Deserialize, Serialize},
     std::time::SystemTime,
 };
 
-/// Why work was refused before it started.
+/// Why a job or task was refused before it started.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalReason {
@@ -17,25 +17,26 @@
     QueueFull,
     /// The deadline leaves no time to run.
     DeadlineTooNear,
-    /// The same key came with another body.
+    /// The key was used before with another body.
     KeyReused,
-    /// No entry owns the shard at the moment.
+    /// No entry owns the job's shard at the moment.
     NoOwner,
-    /// The owner waits for the end of an earlier ownership.
+    /// The new owner of the shard still waits until an earlier ownership has
+    /// ended.
     TakingOver,
     /// No endpoint can ever run this job.
     NeverRunnable,
     /// The process is stopping.
     Stopping,
-    /// No endpoint proved willing within the retry budget.
+    /// Endpoints refused the task more often than the retry budget allows.
     RetriesExhausted,
 }
 
-/// A refusal: nothing of the submission ran.
+/// States that a submission was refused and nothing of it ran.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Refusal {
-    /// Why it was refused.
+    /// Why the submission was refused.
     pub reason: RefusalReason,
-    /// When another try is sensible, where that is known.
+    /// Earliest moment at which the caller should retry; none where unknown.
     pub retry_at: Option<SystemTime>,
 }
--- a/crates/types/src/room.rs
+++ b/crates/types/src/room.rs
@@ -1,20 +1,20 @@
-//! Room of an endpoint and need of a task.
+//! Resources of endpoints and tasks.
 
 use serde::{Deserialize, Serialize};
 
-/// Room of an endpoint, or what a task needs of it.
+/// Resources of an endpoint, or those that a task needs.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Room {
     /// Processor, in thousandths of a core.
     pub cpu_millis: u32,
     /// Memory, in megabytes.
     pub memory_mb: u32,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
 impl Room {
-    /// Whether `need` fits into this room.
+    /// Returns whether these resources are enough for `need`.
     #[must_use]
     pub fn fits(self, need: Self) -> bool {
         need.cpu_millis <= self.cpu_millis
@@ -22,7 +22,7 @@
             && need.accelerators <= self.accelerators
     }
 
-    /// Returns the sum of both.
+    /// Returns the sum of `self` and `other`, saturating.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Returns what is left without `other`; nothing where `other` is larger.
+    /// Returns `self` without `other`; a resource of which `other` has more
+    /// becomes 0.
     #[must_use]
     pub fn minus(self, other: Self) -> Self {
         Self {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Returns half of it.
+    /// Returns half of each resource, rounded down.
     #[must_use]
     pub fn half(self) -> Self {
         Self {
@@ -52,13 +53,13 @@
         }
     }
 
-    /// Returns how many tasks with the same need fit, at most `most`.
+    /// Returns how many tasks that need `need` each fit, at most `most`.
     #[must_use]
     pub fn count(self, need: Self, most: u16) -> u16 {
-        let by = |room: u32, need: u32| room.checked_div(need).unwrap_or(u32::MAX);
-        let count = by(self.cpu_millis, need.cpu_millis)
-            .min(by(self.memory_mb, need.memory_mb))
-            .min(by(self.accelerators, need.accelerators));
+        let per_resource = |room: u32, need: u32| room.checked_div(need).unwrap_or(u32::MAX);
+        let count = per_resource(self.cpu_millis, need.cpu_millis)
+            .min(per_resource(self.memory_mb, need.memory_mb))
+            .min(per_resource(self.accelerators, need.accelerators));
         u16::try_from(count).unwrap_or(u16::MAX).min(most)
     }
 }
--- a/crates/types/src/routing.rs
+++ b/crates/types/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which requests go to which pool of endpoints.
+//! The routing table, which maps requests to pools of endpoints.
 
 use {
     crate::{RouteId, RoutingVersion, ServiceId},
@@ -7,45 +7,49 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// One route.
+/// One route: which requests it matches and how their jobs are run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Route {
     /// Name of the route.
     pub id: RouteId,
-    /// Host that requests name.
+    /// Host of the requests that the route matches.
     pub host: Arc<str>,
-    /// Beginning of the paths that belong to the route.
+    /// Prefix of the paths that the route matches.
     pub path_prefix: Arc<str>,
-    /// Pool whose endpoints run its tasks.
+    /// Pool of endpoints that run the tasks.
     pub service: ServiceId,
-    /// Urgency; 0 is the most urgent.
+    /// Priority of the route's jobs; 0 is the most urgent.
     pub priority: u32,
-    /// Runs of a task that may fail before the job fails.
+    /// How many runs of a task may fail before the job fails.
     pub attempts: u32,
-    /// The objective allows this many times the longest chain of work.
+    /// Factor on the run time of the job's longest chain of steps; the latency
+    /// objective is this product plus `target_latency`.
     pub stretch: f64,
-    /// The objective allows this much beside the work.
+    /// Part of the latency objective that does not depend on run times.
     pub target_latency: Duration,
 
-    /// Whether endpoints must be asked for beforehand; not supported.
+    /// Whether the platform must be asked for advice on endpoints before a
+    /// placement; jobs of such a route are refused, as this is not supported.
     pub needs_advice: bool,
 }
 
-/// All routes at one version.
+/// All routes, at one version.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutingTable {
-    /// Version; a process takes no lower one after a higher one.
+    /// Version; a process ignores a table with a lower version than the one it
+    /// has.
     pub version: RoutingVersion,
     /// The routes, by name.
     pub routes: IndexMap<RouteId, Arc<Route>>,
 
-    /// Longest body of a request, in bytes.
+    /// Longest body of a request that entries accept, in bytes.
     pub max_body_bytes: usize,
 }
 
 impl RoutingTable {
-    /// Returns the route of a request: the longest prefix of its host.
+    /// Returns the route of a request: of those for its host, the one with the
+    /// longest matching path prefix.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.routes
--- a/crates/types/src/step.rs
+++ b/crates/types/src/step.rs
@@ -6,18 +6,18 @@
     std::time::Duration,
 };
 
-/// One step of a job: tasks of the same size.
+/// One step of a job: a number of tasks that need the same resources.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StepSpec {
     /// Number of tasks.
     pub tasks: u16,
-    /// What each task needs.
+    /// Resources that each task needs.
     pub need: Room,
-    /// Run time of a task that the caller expects; often wrong.
+    /// Run time of a task as the caller estimates it; often wrong.
     pub estimate: Duration,
-    /// Steps that must be complete before this one.
+    /// Steps that must be complete before this one starts.
     pub after: Vec<StepIndex>,
-    /// Label that the endpoint must have.
+    /// Label that an endpoint must have to run a task of the step.
     pub requires: Option<Label>,
     /// Label of the rack where tasks run fastest.
     pub rack: Option<Label>,
--- a/crates/types/src/table.rs
+++ b/crates/types/src/table.rs
@@ -11,20 +11,20 @@
 /// A row of the table with the revision of its last write.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Versioned<T> {
-    /// What the row says.
+    /// Value of the row.
     pub value: T,
-    /// Revision of its last write.
+    /// Revision of the row's last write.
     pub revision: Revision,
 }
 
-/// What one read of the table showed.
+/// The dispatcher's rows as one read of the table returned them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TableSnapshot {
     /// Revision of the table.
     pub revision: Revision,
-    /// Entries of the site.
+    /// Rows of the site's entries.
     pub members: IndexMap<EntryId, Versioned<Member>>,
-    /// Owners of shards.
+    /// Rows of the shards' owners.
     pub owners: IndexMap<ShardId, Versioned<ShardOwner>>,
     /// Contracts and drains.
     pub configuration: Configuration,
@@ -33,34 +33,35 @@
 /// A row to write.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TableRow {
-    /// An entry's own row.
+    /// Registers an entry.
     Member(Member),
     /// Removes an entry's row.
     MemberGone(EntryId),
-    /// The owner of a shard.
+    /// Records the owner of a shard.
     Owner(ShardOwner),
-    /// A contract.
+    /// Creates or changes a contract.
     Contract(Contract),
-    /// Whether an endpoint may get new work.
+    /// Sets whether an endpoint may get new work.
     Drain(EndpointId, DrainState),
 }
 
-/// A conditional write.
+/// A write of one row that takes effect only at the expected revision.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TableWrite {
     /// The row to write.
     pub row: TableRow,
-    /// Revision that the row must have; 0 where it must not exist.
+    /// Revision that the row must have; 0 where the row must not exist.
     pub expected: Revision,
 }
 
-/// What became of a conditional write.
+/// Result of a conditional write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WriteResult {
-    /// It took effect at this revision.
+    /// The write took effect at this revision.
     Accepted(Revision),
-    /// The row had another revision; 0 where it does not exist.
+    /// The write had no effect, since the row has this other revision; 0 where
+    /// the row does not exist.
     Conflict(Revision),
-    /// Nobody knows: no answer came.
+    /// The table did not answer, so the write may have taken effect or not.
     Unknown,
 }
--- a/crates/types/src/task.rs
+++ b/crates/types/src/task.rs
@@ -10,24 +10,24 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskSpec {
-    /// What sort of work it is; run times are learned by kind.
+    /// Kind of work; run times are learned for each kind.
     pub kind: KindId,
-    /// Run time that the caller expects; often wrong.
+    /// Run time as the caller estimates it; often wrong.
     pub declared_run_time: Duration,
-    /// Input for the endpoint, passed on untouched.
+    /// Input for the endpoint, passed on unchanged.
     pub input: String,
-    /// Whether a second run would do no harm.
+    /// Whether the task may safely run a second time.
     pub idempotent: bool,
 }
 
-/// Names one task: its job and its position there.
+/// Identifies one task by its job and its position there.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct TaskRef {
-    /// Contract of the job.
+    /// Contract under which the job was submitted.
     pub contract: ContractId,
-    /// The caller's key of the job.
+    /// Idempotency key of the job.
     pub key: IdempotencyKey,
-    /// Position in the job, from 0.
+    /// Position of the task in the job, from 0.
     pub index: TaskIndex,
 }
 
