--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -2,16 +2,16 @@
 
 use crate::{CodecError, Message};
 
-/// Longest frame, in bytes.
+/// Longest encoded message, in bytes.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
-/// Deepest nesting that a frame may have.
+/// Deepest nesting of values that the decoder accepts.
 const MAX_DEPTH: usize = 32;
 
-/// Encodes a message.
+/// Encodes a message as one frame.
 ///
 /// # Errors
-/// Returns an error where the message is longer than [`MAX_FRAME_BYTES`].
+/// Returns an error if the encoded message is longer than [`MAX_FRAME_BYTES`].
 pub fn encode(message: &Message) -> Result<Vec<u8>, CodecError> {
     let mut buf = Vec::new();
     ciborium::into_writer(message, &mut buf).map_err(|e| CodecError::Encode(e.to_string()))?;
@@ -21,10 +21,10 @@
     Ok(buf)
 }
 
-/// Decodes a message.
+/// Decodes the message in a frame.
 ///
 /// # Errors
-/// Returns an error where the frame is too long or no message.
+/// Returns an error if the frame is too long or is not a valid message.
 pub fn decode(buf: &[u8]) -> Result<Message, CodecError> {
     if buf.len() > MAX_FRAME_BYTES {
         return Err(CodecError::TooLong(buf.len()));
--- a/crates/protocol/src/errors.rs
+++ b/crates/protocol/src/errors.rs
@@ -8,10 +8,10 @@
     /// The frame is longer than the protocol allows.
     #[error("frame of {0} bytes is longer than {max} bytes", max = crate::MAX_FRAME_BYTES)]
     TooLong(usize),
-    /// The message has no encoding.
+    /// The message could not be encoded, for this reason.
     #[error("message cannot be encoded: {0}")]
     Encode(String),
-    /// The bytes are no message.
-    #[error("frame is no message: {0}")]
+    /// The frame is not a valid message, for this reason.
+    #[error("frame is not a valid message: {0}")]
     Decode(String),
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,5 +1,4 @@
-//! The protocol between the dispatcher's own processes: which messages there
-//! are, and how they are encoded.
+//! The protocol between entries and agents: its messages and their encoding.
 
 mod codec;
 mod errors;
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -10,27 +10,28 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Name and version of the protocol, compared when a link opens.
+/// Name and version of the protocol; a link opens only where both sides have the
+/// same.
 pub const PROTOCOL: &str = "chestnutrun.3";
 
-/// First message on a link, from the side that opened it.
+/// First message on a link: the side that opened the link identifies itself.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Hello {
-    /// An agent announces its endpoint.
+    /// An agent that serves the owner of a shard announces its endpoint.
     Agent(AgentHello),
-    /// An entry names itself.
+    /// An entry identifies itself.
     Entry(Member),
-    /// An agent that guards an endpoint for several entries names itself.
+    /// An agent that serves several entries identifies itself.
     Guard(GuardHello),
 }
 
-/// Names an agent that guards an endpoint for several entries.
+/// Identifies an agent that runs tasks of several entries on its endpoint.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GuardHello {
-    /// The agent.
+    /// Name of the agent.
     pub agent: AgentId,
-    /// Run of the agent.
+    /// Number of the agent's current run.
     pub incarnation: Incarnation,
 }
 
@@ -38,73 +39,75 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
-    /// Opens the link.
+    /// First message on a link, from the side that opened it.
     Hello(Hello),
-    /// Entry to agent and entry to entry: the entries to link to.
+    /// Entry to agent or entry: the entries of the site, to which the receiver
+    /// keeps links.
     Members(MemberList),
-    /// Entry to agent and entry to entry: the newest configuration.
+    /// Entry to agent or entry: the newest configuration that the sender has.
     Configuration(Configuration),
-    /// Agent to entry: which ownership is valid?
+    /// Agent to entry: asks which ownership is valid.
     Confirm(Confirm),
-    /// Entry to agent: the ownership is valid.
+    /// Entry to agent: confirms an ownership, in answer to `Confirm`.
     Confirmation(Confirmation),
-    /// Entry to agent: shuts out earlier ownerships.
+    /// Entry to agent: asks the agent to fence earlier ownerships.
     Fence(Fence),
-    /// Agent to entry: earlier ownerships are shut out.
+    /// Agent to entry: earlier ownerships are fenced, in answer to `Fence`.
     FenceReply(FenceReply),
-    /// Agent to entry: the agent leaves, and these are the jobs of its records.
+    /// Agent to entry: the agent leaves; it has records of these jobs.
     Departed(Vec<KeyHash>),
-    /// Entry to agent: start a task.
+    /// Entry to agent: asks the agent to start a task.
     Start(Start),
     /// Agent to entry: a task did not start.
     StartRefused(StartRefused),
     /// Agent to entry: a task ended.
     Finished(Finished),
-    /// Entry to agent: what is known of a job?
+    /// Entry to agent: asks for the agent's records of a job.
     Lookup(Lookup),
-    /// Agent to entry: what is known of a job.
+    /// Agent to entry: the agent's records of a job, in answer to `Lookup`.
     LookupReply(LookupReply),
-    /// Entry to entry: a submission for the owner.
+    /// Entry to entry: forwards a submission to the owner of its shard.
     Submit(Submit),
-    /// Entry to entry: a question for a job's answer.
+    /// Entry to entry: asks the owner for the answer of a job.
     Ask(JobRef),
-    /// Entry to entry: cancel what has not started.
+    /// Entry to entry: asks the owner to cancel the job's tasks that have not
+    /// started.
     Cancel(JobRef),
-    /// Entry to entry: the owner's reply.
+    /// Entry to entry: the owner's reply about a job.
     Reply(JobReply),
     /// Entry to entry: the sender owns a shard.
     Owner(ShardOwner),
-    /// Entry to entry: the sender took note of an ownership.
+    /// Entry to entry: the sender has recorded an ownership.
     Acknowledgement(Acknowledgement),
-    /// Entry to entry: is the sender's ownership valid?
+    /// Entry to entry: asks the receiver to vote for the sender's ownership.
     Vouch(Vouch),
-    /// Entry to entry: the ownership is valid.
+    /// Entry to entry: a vote for the receiver's ownership, in answer to `Vouch`.
     Vouched(Vouched),
-    /// Entry to entry: the runs of agents that the sender knows.
+    /// Entry to entry: the runs of agents that the sender knows of.
     Agents(KnownAgents),
-    /// Agent to entry: what the agent knows of the entry's assignments.
+    /// Agent to entry: the state of the entry's assignments, sent first on a link.
     Resync(Resync),
-    /// Agent to entry: the endpoint changed; none where it is gone.
+    /// Agent to entry: the endpoint changed; none where it can no longer be used.
     Endpoint(Option<EndpointInfo>),
-    /// Agent to entry: room and ended tasks.
+    /// Agent to entry: free resources and ended tasks.
     Update(AgentUpdate),
-    /// Entry to agent: start tasks of a job.
+    /// Entry to agent: asks the agent to start tasks of a best-effort job.
     Assign(Assignment),
-    /// Entry to agent: drop or stop tasks.
+    /// Entry to agent: asks the agent to drop or stop the tasks of assignments.
     Revoke(Revocation),
-    /// To any peer: the newest routing table that the sender has.
+    /// To any peer: version of the newest routing table that the sender has.
     RoutingVersion(RoutingVersion),
-    /// To any peer: send the routing table.
+    /// To any peer: asks the receiver for its routing table.
     RoutingRequest,
-    /// To any peer: the routing table.
+    /// To any peer: the routing table, in answer to `RoutingRequest`.
     Routing(RoutingTable),
-    /// Entry to agent: read the routing table from the directory, which does not
-    /// answer the sender.
+    /// Entry to agent: asks the agent to read the routing table from the
+    /// directory, since the directory does not answer the entry.
     DirectoryRequest,
 }
 
 impl Message {
-    /// Returns the kind of the message, as metrics name it.
+    /// Returns the name of the message's kind in metrics.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
--- a/crates/protocol/tests/codec.rs
+++ b/crates/protocol/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Messages survive their encoding; what is no message is refused.
+//! Encoded messages decode to the same message; other bytes are refused.
 
 use {
     chestnutrun_protocol::{CodecError, MAX_FRAME_BYTES, Message, decode, encode},
@@ -9,16 +9,16 @@
 #[rstest]
 #[case::confirm(Message::Confirm(Confirm { nonce: 7, leased: Some(3) }))]
 #[case::ask(Message::Ask(JobRef { contract: "c".into(), key: "k".into() }))]
-fn a_message_survives_its_encoding(#[case] message: Message) {
-    let buf = encode(&message).expect("it has an encoding");
-    assert_eq!(decode(&buf).expect("it is a message"), message);
+fn an_encoded_message_decodes_to_itself(#[case] message: Message) {
+    let buf = encode(&message).expect("the message can be encoded");
+    assert_eq!(decode(&buf).expect("the frame is a valid message"), message);
 }
 
 #[rstest]
 #[case::empty(&[])]
 #[case::other_bytes(b"GET / HTTP/1.1")]
 #[case::deep_nesting(&[0x81; 4_096])]
-fn other_bytes_are_refused(#[case] buf: &[u8]) {
+fn bytes_that_are_not_a_message_are_refused(#[case] buf: &[u8]) {
     assert!(matches!(decode(buf), Err(CodecError::Decode(_))));
 }
 
