--- a/crates/net/src/body.rs
+++ b/crates/net/src/body.rs
@@ -1,16 +1,19 @@
-//! Reads bodies of requests within limits.
+//! Reading request bodies up to a limit.
 
 use ntex::{util::BytesMut, web::types::Payload};
 
-/// Most that is read of a body beyond its limit, as a multiple of the limit,
-/// so that the caller gets the response rather than a reset connection.
-const MAX_DISCARDED_BODIES: usize = 4;
+/// How much of a body that is too long is read and discarded, as a multiple of
+/// the limit.
+///
+/// If the connection closed while the caller still sends, the caller would see a
+/// connection reset in place of the response.
+const MAX_DISCARD_FACTOR: usize = 4;
 
-/// Collects a body; returns none where it is longer than `limit`, or declared
-/// to be.
+/// Reads a whole body; returns none if it is longer than `limit` bytes, or if
+/// its declared length is.
 ///
 /// # Errors
-/// Returns what went wrong where the body did not arrive whole.
+/// Returns the reason if the body did not arrive completely.
 pub async fn collect_body(
     mut payload: Payload,
     limit: usize,
@@ -23,7 +26,7 @@
         let chunk = chunk.map_err(|e| e.to_string())?;
         read += chunk.len();
         is_too_long |= read > limit;
-        if read > limit.saturating_mul(MAX_DISCARDED_BODIES) {
+        if read > limit.saturating_mul(MAX_DISCARD_FACTOR) {
             break;
         }
         if is_too_long {
--- a/crates/net/src/errors.rs
+++ b/crates/net/src/errors.rs
@@ -5,20 +5,21 @@
 /// Why a link ended or did not open.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// The connection failed.
+    /// The TCP connection failed.
     #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
-    /// The websocket failed or was refused.
+    /// The websocket failed, or the peer refused the handshake.
     #[error("websocket failed: {0}")]
     WebSocket(Box<tokio_tungstenite::tungstenite::Error>),
-    /// A frame was no message.
+    /// A message could not be encoded, or a frame was not a valid message.
     #[error(transparent)]
     Codec(#[from] CodecError),
-    /// Nothing was heard from the peer for too long.
-    #[error("peer is silent")]
+    /// The peer did not connect, answer or accept data within the time limit.
+    #[error("peer did not respond in time")]
     Silent,
-    /// The first message was not an announcement.
-    #[error("peer did not announce itself")]
+    /// The peer's first message was not a hello, or the site token cannot be sent
+    /// in a header.
+    #[error("peer did not send a hello as its first message")]
     NoHello,
     /// The peer closed the link.
     #[error("peer closed the link")]
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,7 +1,7 @@
-//! HTTP serving on the one loop of a process.
+//! HTTP listeners, served on the process's single event loop.
 
 use {
-    crate::request_fault::{FaultResponse, control, plain_fault},
+    crate::request_fault::{FaultResponse, answer_control, plain_fault},
     ntex::{
         SharedCfg,
         connect::rustls::TlsAcceptor,
@@ -16,10 +16,10 @@
     tokio::net::TcpListener,
 };
 
-/// How long to wait after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the next accept after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Limits of an HTTP listener.
+/// Limits that an HTTP listener sets for its connections.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpLimits {
     /// How long a client may take to send the head of a request.
@@ -30,7 +30,7 @@
     pub max_headers: usize,
 }
 
-/// Makes the configuration of a listener.
+/// Creates the configuration of a listener named `name`.
 #[must_use]
 pub fn http_config(name: &'static str, limits: HttpLimits) -> SharedCfg {
     let service = HttpServiceConfig::new()
@@ -40,7 +40,7 @@
     SharedCfg::new(name).add(service).into()
 }
 
-/// Serves an application until the process ends.
+/// Serves an application over plain HTTP until the process ends.
 pub async fn serve_http<S, U, E>(listener: TcpListener, app: U, cfg: SharedCfg)
 where
     U: IntoServiceFactory<S, Request, SharedCfg>,
@@ -56,18 +56,18 @@
     serve_http_with(listener, app, conf).await;
 }
 
-/// How an application is served.
+/// Settings with which [`serve_http_with`] serves an application.
 #[derive(Clone, Debug)]
 pub struct ServeConf {
-    /// Limits of requests.
+    /// Configuration of the listener, from [`http_config`].
     pub cfg: SharedCfg,
-    /// Makes the responses to requests that do not reach the application.
+    /// Creates the responses to requests that do not reach the application.
     pub faults: FaultResponse,
     /// Configuration of TLS; none serves plain HTTP.
     pub tls: Option<Arc<ServerConfig>>,
 }
 
-/// Serves an application until the process ends.
+/// Serves an application over HTTP or HTTPS until the process ends.
 pub async fn serve_http_with<S, U, E>(listener: TcpListener, app: U, conf: ServeConf)
 where
     U: IntoServiceFactory<S, Request, SharedCfg>,
@@ -97,27 +97,28 @@
         + 'static,
     E: ErrorContainer + 'static,
 {
-    let answer =
-        move |message: Control<F, E>| async move { Ok::<_, io::Error>(control(message, faults)) };
-    HttpService::new(app).h1_control(fn_service(answer))
+    let on_control = move |message: Control<F, E>| async move {
+        Ok::<_, io::Error>(answer_control(message, faults))
+    };
+    HttpService::new(app).h1_control(fn_service(on_control))
 }
 
-/// Accepts connections and hands each to a service of its own.
+/// Accepts connections and serves each in a task of its own.
 async fn accept<S>(listener: TcpListener, factory: S, cfg: SharedCfg)
 where
     S: ServiceFactory<Io, SharedCfg, Response = ()> + 'static,
     S::Error: fmt::Debug,
 {
     let Ok(pipeline) = factory.pipeline(cfg.clone()).await else {
-        log::error!("HTTP application cannot be built");
+        log::error!("HTTP application could not be built; the listener serves no requests");
         return;
     };
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!("connection not accepted: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!("HTTP connection not accepted: {error}; retrying after a delay");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -127,19 +128,19 @@
         match io {
             Ok(io) => {
                 let pipeline = pipeline.clone();
-                ntex::rt::spawn(async move { report(pipeline.call(io).await) });
+                ntex::rt::spawn(async move { log_error(pipeline.call(io).await) });
             }
-            Err(error) => log::warn!("connection not served: {error}"),
+            Err(error) => log::warn!("HTTP connection dropped before it was served: {error}"),
         }
     }
 }
 
-fn report<E: fmt::Debug>(ended: Result<(), E>) {
-    if let Err(error) = ended {
-        log::debug!("connection ended: {error:?}");
+fn log_error<E: fmt::Debug>(result: Result<(), E>) {
+    if let Err(error) = result {
+        log::debug!("HTTP connection ended with an error: {error:?}");
     }
 }
 
-fn seconds(of: Duration) -> Seconds {
-    Seconds::new(u16::try_from(of.as_secs().max(1)).unwrap_or(u16::MAX))
+fn seconds(duration: Duration) -> Seconds {
+    Seconds::new(u16::try_from(duration.as_secs().max(1)).unwrap_or(u16::MAX))
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,4 +1,5 @@
-//! Links between processes, and HTTP serving, on the one loop of a process.
+//! Links between the dispatcher's processes, and HTTP listeners, both on the
+//! process's single event loop.
 
 mod body;
 mod errors;
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -1,4 +1,4 @@
-//! One open link: a websocket that carries messages both ways.
+//! One open link: a websocket that carries messages in both directions.
 
 use {
     crate::LinkError,
@@ -24,22 +24,23 @@
     },
 };
 
-/// How long a peer may take to open a link.
-pub(crate) const OPENING_LIMIT: Duration = Duration::from_millis(1_200);
+/// Time limit for the TCP connection, the websocket handshake and the hello of a
+/// link.
+pub(crate) const OPEN_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// How links are probed.
+/// How the two sides of a link detect that the other has failed.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkTiming {
-    /// Time between two probes of a link; none where only the other side
-    /// probes.
+    /// Time between two probes (websocket pings); none where only the other side
+    /// sends probes.
     pub probe_interval: Option<Duration>,
-    /// How long a peer may be silent before the link is closed.
+    /// The link is closed when nothing arrives from the peer for this long.
     pub silence_limit: Duration,
 }
 
 impl Default for LinkTiming {
-    /// Three probes within the limit of silence, which is well under the 2 s
-    /// within which a silent connection must be noticed.
+    /// Three probes fit into the silence limit. The limit is well under the 2 s
+    /// within which a silent connection must be detected.
     fn default() -> Self {
         Self {
             probe_interval: Some(Duration::from_millis(400)),
@@ -51,13 +52,13 @@
 /// Most messages that wait to be sent on one link.
 const MAX_QUEUED_MESSAGES: usize = 65_536;
 
-/// Bytes that are read from a connection at once.
+/// Size of a connection's read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Number of a link within its process.
+/// Number of a link, unique within the process.
 pub type LinkId = u64;
 
-/// Hands out numbers of links.
+/// Allocates the numbers of links; clones share one counter.
 #[derive(Clone, Debug, Default)]
 pub struct LinkIds(Rc<Cell<LinkId>>);
 
@@ -68,25 +69,26 @@
     }
 }
 
-/// Who is at the other end of a link.
+/// The peer at the other end of a link.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PeerName {
-    /// The peer opened the link and announced itself.
+    /// The peer opened the link and sent this hello.
     Accepted(Hello),
-    /// This process opened the link to an entry.
+    /// This process opened the link to this entry.
     Dialed(EntryId),
 }
 
-/// What happens on links.
+/// An event on a link, for the loop of the process.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// A link opened.
+    /// A link to the peer opened.
     Up(Link, PeerName),
-    /// A message came in.
+    /// A message arrived on the link.
     Message(LinkId, Message),
-    /// The peer was alive at this moment of this process's clock or later.
+    /// The peer answered a probe that was sent at this moment, so it was alive
+    /// then or later.
     Proven(LinkId, Instant),
-    /// A link closed.
+    /// The link closed.
     Down(LinkId),
 }
 
@@ -104,14 +106,14 @@
         self.id
     }
 
-    /// Queues a message; returns false where the link is closed or its queue
-    /// is full.
+    /// Queues a message; returns false if the link is closed or its queue is
+    /// full.
     #[must_use]
     pub fn send(&self, message: Message) -> bool {
         self.tx.try_send(message).is_ok()
     }
 
-    /// Closes the link once every clone of it is closed.
+    /// Drops this handle; the link closes when its last clone is dropped.
     pub fn close(self) {
         drop(self);
     }
@@ -119,7 +121,7 @@
 
 pub(crate) type Socket = WebSocketStream<TcpStream>;
 
-/// Limits of the websocket below a link.
+/// Returns the limits of a link's websocket.
 pub(crate) fn socket_config() -> WebSocketConfig {
     WebSocketConfig::default()
         .read_buffer_size(READ_BUFFER_BYTES)
@@ -127,7 +129,8 @@
         .max_frame_size(Some(MAX_FRAME_BYTES))
 }
 
-/// Runs an open link until it ends.
+/// Sends and receives messages on an open link until it ends; returns why it
+/// ended.
 pub(crate) async fn run_link(
     id: LinkId,
     socket: Socket,
@@ -146,20 +149,21 @@
         error = write(rx, sink, timing, &probes) => error,
         error = read(id, stream, timing, &probes, events) => error,
     };
-    // The loop of the process is gone where nobody takes the event.
+    // Sending fails only when the loop of the process has ended.
     let _ = events.send(LinkEvent::Down(id)).await;
     error
 }
 
-/// What a peer sent.
+/// A frame received from a peer.
 pub(crate) enum Received {
     /// A message.
     Message(Message),
-    /// The answer to a probe.
+    /// The answer to a probe, with the probe's payload.
     Pong(Bytes),
 }
 
-/// Reads one message or answer to a probe, within the limit of silence.
+/// Reads the next message or answer to a probe; each frame has to arrive within
+/// `limit`.
 pub(crate) async fn read_frame(
     stream: &mut (impl StreamExt<Item = Result<Frame, tokio_tungstenite::tungstenite::Error>> + Unpin),
     limit: Duration,
@@ -200,8 +204,8 @@
     }
 }
 
-/// Sends messages, and a probe at fixed intervals, so that the answers prove
-/// that the peer was alive when the probe left.
+/// Sends queued messages, and a probe at fixed intervals. An answer to a probe
+/// proves that the peer was alive when the probe was sent.
 async fn write(
     mut rx: Receiver<Message>,
     mut sink: SplitSink<Socket, Frame>,
@@ -209,9 +213,9 @@
     probes: &Probes,
 ) -> LinkError {
     let limit = timing.silence_limit;
-    let mut probe_at = timing.probe_interval.map(|_| tokio::time::Instant::now());
+    let mut next_probe_at = timing.probe_interval.map(|_| tokio::time::Instant::now());
     loop {
-        let next = match probe_at {
+        let next = match next_probe_at {
             Some(at) => timeout_at(at, rx.recv()).await,
             None => Ok(rx.recv().await),
         };
@@ -219,10 +223,10 @@
             Ok(Some(message)) => timeout(limit, write_batch(message, &mut rx, &mut sink)).await,
             Ok(None) => return LinkError::Closed,
             Err(_) => {
-                probe_at = timing
+                next_probe_at = timing
                     .probe_interval
-                    .map(|pause| tokio::time::Instant::now() + pause);
-                timeout(limit, probe(&mut sink, probes)).await
+                    .map(|interval| tokio::time::Instant::now() + interval);
+                timeout(limit, send_probe(&mut sink, probes)).await
             }
         };
         match sent {
@@ -233,42 +237,45 @@
     }
 }
 
-async fn probe(sink: &mut SplitSink<Socket, Frame>, probes: &Probes) -> Result<(), LinkError> {
+async fn send_probe(sink: &mut SplitSink<Socket, Frame>, probes: &Probes) -> Result<(), LinkError> {
     Ok(sink.send(Frame::Ping(probes.payload())).await?)
 }
 
-/// Ties the answers to probes to the moments at which the probes were sent.
+/// Encodes the time of sending in the payload of each probe, so that the answer
+/// tells when its probe was sent.
 struct Probes {
-    epoch: Instant,
+    opened_at: Instant,
 }
 
 impl Default for Probes {
     fn default() -> Self {
         Self {
-            epoch: Now::read().instant,
+            opened_at: Now::read().instant,
         }
     }
 }
 
 impl Probes {
-    /// Returns the payload of a probe that is sent now: microseconds since the
-    /// link opened, little-endian.
+    /// Returns the payload of a probe that is sent now: the microseconds since
+    /// the link opened, as a little-endian `u64`.
     fn payload(&self) -> Bytes {
-        let age = Now::read().instant.saturating_duration_since(self.epoch);
+        let age = Now::read()
+            .instant
+            .saturating_duration_since(self.opened_at);
         let micros = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
         Bytes::copy_from_slice(&micros.to_le_bytes())
     }
 
-    /// Returns when the probe with this payload was sent; none where the
-    /// payload is not of this link.
+    /// Returns when the probe with this payload was sent; none if the payload is
+    /// not that of a probe sent on this link.
     fn sent_at(&self, payload: &[u8]) -> Option<Instant> {
         let micros = u64::from_le_bytes(payload.try_into().ok()?);
-        let at = self.epoch.checked_add(Duration::from_micros(micros))?;
+        let at = self.opened_at.checked_add(Duration::from_micros(micros))?;
         (at <= Now::read().instant).then_some(at)
     }
 }
 
-/// Sends a message and what is queued behind it with one flush.
+/// Sends a message and those queued behind it with one flush.
 async fn write_batch(
     first: Message,
     rx: &mut Receiver<Message>,
--- a/crates/net/src/link_client.rs
+++ b/crates/net/src/link_client.rs
@@ -1,9 +1,9 @@
-//! Opens links to entries, again and again.
+//! Opens links to entries, and reopens them when they end.
 
 use {
     crate::{
         LinkError, LinkEvent, LinkId, LinkIds, PeerName,
-        link::{LinkTiming, OPENING_LIMIT, Socket, run_link, socket_config},
+        link::{LinkTiming, OPEN_TIMEOUT, Socket, run_link, socket_config},
     },
     chestnutrun_protocol::{Hello, Message, PROTOCOL, encode},
     chestnutrun_types::EntryId,
@@ -25,34 +25,34 @@
     },
 };
 
-/// How long a dialer waits before it opens a link again.
-const REDIAL_PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a link ended before the dialer opens it again.
+const REDIAL_DELAY: Duration = Duration::from_millis(200);
 
-/// How long a connection may take: the opening packet to a worker without
-/// power is lost and would be sent again only after a second, so that a new
-/// connection finds the worker sooner.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+/// Time limit for the TCP connection. The SYN packet to a worker without power is
+/// lost, and the kernel sends it again only after a second, so a new connection
+/// reaches the worker sooner once it is up.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a dialer needs.
+/// Settings of a [`Dialer`].
 #[derive(Clone, Debug)]
 pub struct DialerConf {
     /// Entry to link to.
     pub entry: EntryId,
-    /// Its address for links.
+    /// Address at which the entry accepts links.
     pub address: SocketAddr,
-    /// Secret that every process of the site shares.
+    /// Secret that all processes of the site share, sent in the handshake.
     pub site_token: Rc<str>,
-    /// Announcement of this process; its newest form is sent on each link.
+    /// Hello of this process; each new link sends the value that it has then.
     pub hello: Rc<RefCell<Hello>>,
-    /// Hands out numbers of links.
+    /// Allocates the numbers of links.
     pub ids: LinkIds,
-    /// How the link is probed.
+    /// Probe interval and silence limit of the link.
     pub timing: LinkTiming,
-    /// Where events go.
+    /// Receives the events of the link.
     pub events: Sender<LinkEvent>,
 }
 
-/// Keeps one link to an entry open.
+/// Keeps one link to an entry open until it is closed.
 #[derive(Debug)]
 pub struct Dialer {
     address: SocketAddr,
@@ -60,60 +60,65 @@
 }
 
 impl Dialer {
-    /// Starts to keep a link open.
+    /// Starts a task that opens the link and reopens it whenever it ends.
     #[must_use]
     pub fn open(cfg: DialerConf) -> Self {
         let (stop, stopped) = oneshot::channel();
         let address = cfg.address;
         ntex::rt::spawn(async move {
-            let open = Cell::new(None);
+            let open_link = Cell::new(None);
             tokio::select! {
-                () = redial(&cfg, &open) => {}
+                () = redial(&cfg, &open_link) => {}
                 _ = stopped => {}
             }
-            if let Some(id) = open.get() {
-                // The loop of the process is gone where nobody takes the event.
+            if let Some(id) = open_link.get() {
+                // Sending fails only when the loop of the process has ended.
                 let _ = cfg.events.send(LinkEvent::Down(id)).await;
             }
         });
         Self { address, stop }
     }
 
-    /// Returns the address that is dialed.
+    /// Returns the address to which the dialer connects.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes the link and opens no other.
+    /// Closes the link and does not open it again.
     pub fn close(self) {
-        // The task is gone already where nobody takes the signal.
+        // Sending fails only when the task has already ended.
         let _ = self.stop.send(());
     }
 }
 
-/// Opens links without end; `open` tells the link that is open now.
-async fn redial(cfg: &DialerConf, open: &Cell<Option<LinkId>>) {
+/// Opens the link again whenever it ends; `open_link` holds the number of the
+/// link while one is open.
+async fn redial(cfg: &DialerConf, open_link: &Cell<Option<LinkId>>) {
     loop {
-        let error = match timeout(OPENING_LIMIT, connect(cfg)).await {
+        let error = match timeout(OPEN_TIMEOUT, connect(cfg)).await {
             Err(_) => LinkError::Silent,
             Ok(Err(error)) => error,
             Ok(Ok(socket)) => {
                 let peer = PeerName::Dialed(cfg.entry.clone());
                 let id = cfg.ids.next();
-                open.set(Some(id));
+                open_link.set(Some(id));
                 let error = run_link(id, socket, peer, cfg.timing, &cfg.events).await;
-                open.set(None);
+                open_link.set(None);
                 error
             }
         };
-        log::info!("link to {} at {} ended: {error}", cfg.entry, cfg.address);
-        sleep(REDIAL_PAUSE).await;
+        log::info!(
+            "link to {} at {} ended: {error}; reconnecting",
+            cfg.entry,
+            cfg.address
+        );
+        sleep(REDIAL_DELAY).await;
     }
 }
 
 async fn connect(cfg: &DialerConf) -> Result<Socket, LinkError> {
-    let connecting = timeout(CONNECT_LIMIT, TcpStream::connect(cfg.address));
+    let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(cfg.address));
     let stream = connecting.await.map_err(|_| LinkError::Silent)??;
     stream.set_nodelay(true)?;
     let mut req = format!("ws://{}/", cfg.address).into_client_request()?;
--- a/crates/net/src/link_server.rs
+++ b/crates/net/src/link_server.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         LinkError, LinkEvent, LinkIds, PeerName,
-        link::{LinkTiming, OPENING_LIMIT, Received, read_frame, run_link, socket_config},
+        link::{LinkTiming, OPEN_TIMEOUT, Received, read_frame, run_link, socket_config},
     },
     chestnutrun_protocol::{Message, PROTOCOL},
     std::{rc::Rc, time::Duration},
@@ -21,19 +21,19 @@
     },
 };
 
-/// How long to wait after a link could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the next accept after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a server of links needs.
+/// Settings of a link server.
 #[derive(Clone, Debug)]
 pub struct LinkServerConf {
-    /// Secret that every process of the site shares.
+    /// Secret that all processes of the site share, checked in the handshake.
     pub site_token: Rc<str>,
-    /// Hands out numbers of links.
+    /// Allocates the numbers of links.
     pub ids: LinkIds,
-    /// How links are probed.
+    /// Probe interval and silence limit of the links.
     pub timing: LinkTiming,
-    /// Where events go.
+    /// Receives the events of all links.
     pub events: Sender<LinkEvent>,
 }
 
@@ -49,15 +49,15 @@
                 });
             }
             Err(error) => {
-                log::warn!("link not accepted: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                log::warn!("link not accepted: {error}; retrying after a delay");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 async fn serve_link(stream: TcpStream, cfg: &LinkServerConf) -> LinkError {
-    match timeout(OPENING_LIMIT, open(stream, cfg)).await {
+    match timeout(OPEN_TIMEOUT, open(stream, cfg)).await {
         Err(_) => LinkError::Silent,
         Ok(Err(error)) => error,
         Ok(Ok((socket, peer))) => {
@@ -72,16 +72,16 @@
 ) -> Result<(crate::link::Socket, PeerName), LinkError> {
     stream.set_nodelay(true)?;
     let token = cfg.site_token.clone();
-    #[allow(clippy::result_large_err)] // the library names the error
+    #[allow(clippy::result_large_err)] // the websocket library defines the error type
     let check = |req: &Request, res: Response| check_handshake(req, res, &token);
     let mut socket = accept_hdr_async_with_config(stream, check, Some(socket_config())).await?;
-    match read_frame(&mut socket, OPENING_LIMIT).await? {
+    match read_frame(&mut socket, OPEN_TIMEOUT).await? {
         Received::Message(Message::Hello(hello)) => Ok((socket, PeerName::Accepted(hello))),
         _ => Err(LinkError::NoHello),
     }
 }
 
-#[allow(clippy::result_large_err)] // the library names the error
+#[allow(clippy::result_large_err)] // the websocket library defines the error type
 fn check_handshake(
     req: &Request,
     mut res: Response,
@@ -108,13 +108,14 @@
     Ok(res)
 }
 
-/// Compares in a time that does not depend on where the bytes differ.
+/// Compares secrets in constant time, so that the duration does not reveal where
+/// they differ.
 fn is_equal(a: &[u8], b: &[u8]) -> bool {
     subtle::ConstantTimeEq::ct_eq(a, b).into()
 }
 
-fn refuse(status: StatusCode, why: &str) -> ErrorResponse {
-    let mut res = ErrorResponse::new(Some(why.to_owned()));
+fn refuse(status: StatusCode, reason: &str) -> ErrorResponse {
+    let mut res = ErrorResponse::new(Some(reason.to_owned()));
     *res.status_mut() = status;
     res
 }
--- a/crates/net/src/not_sent.rs
+++ b/crates/net/src/not_sent.rs
@@ -1,11 +1,12 @@
-//! Whether a request that has no answer was sent.
+//! Tells whether an HTTP request that got no answer was sent at all.
 
 use ntex::client::error::{ClientError, ConnectError};
 
-/// Whether nothing of a request was sent, so that it has no effect.
+/// Returns whether nothing of a request was sent, so that it had no effect.
 ///
-/// The client's library calls it a connect error without a cause, too, where
-/// the peer closed the connection after the request was sent.
+/// Not every connect error shows this: if the peer closes the connection after
+/// the request was sent, the client library reports `Disconnected` without a
+/// cause.
 #[must_use]
 pub fn was_not_sent(error: &ClientError) -> bool {
     match error {
--- a/crates/net/src/request_fault.rs
+++ b/crates/net/src/request_fault.rs
@@ -1,4 +1,4 @@
-//! Requests that do not reach the application.
+//! Responses to requests that do not reach the application.
 
 use ntex::{
     http::{
@@ -13,19 +13,20 @@
 /// Why a request did not reach the application.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestFault {
-    /// It has too many or too long headers.
+    /// The head has too many headers or is too long.
     HeadTooLarge,
-    /// It did not arrive in time.
+    /// The head did not arrive in time.
     HeadTooSlow,
-    /// It is not valid HTTP.
+    /// The request is not valid HTTP.
     Malformed,
 }
 
-/// Makes the response to a request that did not reach the application.
+/// Creates the response to a request that did not reach the application.
 pub type FaultResponse = fn(RequestFault) -> Response;
 
-/// Answers a request that did not reach the application.
-pub(crate) fn control<F: Filter, E: ErrorContainer>(
+/// Answers a control message of the HTTP service: a request that did not reach
+/// the application gets the response of its fault.
+pub(crate) fn answer_control<F: Filter, E: ErrorContainer>(
     message: Control<F, E>,
     faults: FaultResponse,
 ) -> ControlAck<F> {
@@ -49,7 +50,7 @@
     }
 }
 
-/// Answers a fault by its status alone.
+/// Creates a response that has only the status of the fault.
 pub(crate) fn plain_fault(fault: RequestFault) -> Response {
     match fault {
         RequestFault::HeadTooLarge => Response::RequestHeaderFieldsTooLarge().finish(),
--- a/crates/net/src/tls.rs
+++ b/crates/net/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS of listeners.
+//! TLS configuration of HTTP listeners.
 
 use {
     rustls::{
@@ -12,31 +12,31 @@
     thiserror::Error,
 };
 
-/// The one protocol that listeners speak over TLS.
+/// The only protocol that listeners offer over TLS (ALPN).
 const HTTP_1_1: &[u8] = b"http/1.1";
 
-/// Why a certificate and its key cannot be used.
+/// Why a TLS configuration could not be created from a certificate and a key.
 #[derive(Debug, Error)]
 pub enum TlsError {
-    /// A file cannot be read or is no PEM of the expected sort.
+    /// The file cannot be read or does not hold the expected PEM.
     #[error("{path}: {message}", path = .0.display(), message = .1)]
     File(PathBuf, String),
-    /// Certificate and key do not fit together.
+    /// The certificate in the file is not valid for the key.
     #[error("{path}: {source}", path = .0.display(), source = .1)]
     Mismatch(PathBuf, rustls::Error),
 }
 
-/// Makes the configuration of a listener from files in PEM.
+/// Creates the TLS configuration of a listener from PEM files.
 ///
 /// # Errors
-/// Returns an error that names the file that cannot be used.
+/// Returns an error that names the file at fault.
 pub fn tls_config(certificate_file: &Path, key_file: &Path) -> Result<Arc<ServerConfig>, TlsError> {
-    let wrong = |path: &Path, message: String| TlsError::File(path.to_owned(), message);
+    let file_error = |path: &Path, message: String| TlsError::File(path.to_owned(), message);
     let chain: Result<Vec<_>, _> =
         CertificateDer::pem_file_iter(certificate_file).and_then(Iterator::collect);
-    let chain = chain.map_err(|e| wrong(certificate_file, e.to_string()))?;
+    let chain = chain.map_err(|e| file_error(certificate_file, e.to_string()))?;
     let key = PrivateKeyDer::from_pem_file(key_file);
-    let key = key.map_err(|e| wrong(key_file, e.to_string()))?;
+    let key = key.map_err(|e| file_error(key_file, e.to_string()))?;
     let mut config = ServerConfig::builder()
         .with_no_client_auth()
         .with_single_cert(chain, key)
