--- a/crates/table/src/change.rs
+++ b/crates/table/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration by operators.
+//! Changes that operators make to the configuration.
 
 use {
     chestnutrun_types::{Contract, DrainState, Revision, TableWrite},
@@ -6,53 +6,56 @@
     std::time::SystemTime,
 };
 
-/// A change of the configuration.
+/// A change that an operator makes to the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// The row to write and the revision that it must have.
     pub write: TableWrite,
-    /// Id of the operation; one that took effect is not repeated.
+    /// Id of the operation; a repetition with the same id has no further effect.
     pub operation: String,
-    /// Who asked for it.
+    /// Name of the operator who requested the change.
     pub operator: String,
-    /// When it was asked for.
+    /// When the change was requested.
     pub at: SystemTime,
 }
 
-/// What the table holds in place of what a change expected.
+/// The current row, where it does not have the revision that a change expected.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Present {
-    /// Revision of the row; 0 where it does not exist.
+    /// Revision of the row; 0 where the row does not exist.
     pub revision: Revision,
-    /// The contract, where the change was of one that exists.
+    /// The current contract; none where it does not exist or the change was of a
+    /// drain.
     pub contract: Option<Contract>,
-    /// The state, where the change was of an endpoint with a row.
+    /// The current drain state; none where the endpoint has no row or the change
+    /// was of a contract.
     pub drain: Option<DrainState>,
 }
 
-/// What became of a change.
+/// Result of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeResult {
-    /// It is written, at this revision.
+    /// The change was written, at this revision.
     Accepted(Revision),
-    /// The row had another revision; nothing was written.
+    /// Nothing was written, since the row had another revision.
     Conflict(Present),
-    /// Nobody knows: no answer came.
+    /// The table did not answer, so the change may have taken effect or not.
     Unknown,
 }
 
 /// One change in a contract's history.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HistoryEntry {
-    /// When it was asked for.
+    /// When the change was requested.
     #[serde(with = "humantime_serde")]
     pub at: SystemTime,
-    /// Who asked for it.
+    /// Name of the operator who requested the change.
     pub operator: String,
-    /// Id of the operation.
+    /// Id of the operation, as the operator sent it.
     pub operation: String,
-    /// Revision that it replaced; 0 where it created the contract.
+    /// Revision of the contract before the change; 0 where the change created
+    /// the contract.
     pub replaced: Revision,
-    /// The contract from then on.
+    /// The contract after the change.
     pub contract: Contract,
 }
--- a/crates/table/src/configuration_store.rs
+++ b/crates/table/src/configuration_store.rs
@@ -1,4 +1,4 @@
-//! The border between operators' requests and the platform's table.
+//! Interface through which operators' requests change the platform's table.
 
 use {
     crate::{Answer, Change, ChangeResult, HistoryEntry, TableError},
@@ -6,11 +6,11 @@
     std::fmt,
 };
 
-/// The part of the platform's table that operators change.
+/// Access to the rows of the platform's table that operators change.
 pub trait ConfigurationStore: fmt::Debug {
-    /// Writes a change and, for a contract, its history.
+    /// Writes a change; a change of a contract is also added to its history.
     fn change(&self, change: Change) -> Answer<ChangeResult>;
 
-    /// Reads a contract's history, the latest change last.
+    /// Reads a contract's history, oldest change first.
     fn history(&self, contract: ContractId) -> Answer<Result<Vec<HistoryEntry>, TableError>>;
 }
--- a/crates/table/src/http_configuration.rs
+++ b/crates/table/src/http_configuration.rs
@@ -1,10 +1,10 @@
-//! Changes of the configuration over HTTP.
+//! Changes of the configuration, written to the table over HTTP.
 
 use {
     crate::{
         Answer, Change, ChangeResult, Condition, ConfigurationStore, HistoryEntry, HttpTable,
         Present, RowReply, TableError, Transaction, Write,
-        http_table::{Transacted, read_rows, transact},
+        http_table::{TransactionOutcome, read_rows, transact},
         rows,
     },
     chestnutrun_types::{Contract, ContractId, TableRow},
@@ -13,11 +13,12 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Most changes that a contract's history keeps.
-const MAX_HISTORY: usize = 20;
+/// Most changes that a contract's history keeps; older ones are dropped.
+const MAX_HISTORY_ENTRIES: usize = 20;
 
-/// How often a change is tried where only the history had changed.
-const HISTORY_TRIES: usize = 3;
+/// How often a change is attempted if only the contract's history was changed by
+/// somebody else in the meantime.
+const MAX_HISTORY_ATTEMPTS: usize = 3;
 
 /// A contract's history with the revision of its row.
 struct History {
@@ -32,7 +33,7 @@
             match try_change(&client, address, &change).await {
                 Ok(result) => result,
                 Err(error) => {
-                    log::warn!("change {} has no answer: {error}", change.operation);
+                    log::warn!("result of change {} is unknown: {error}", change.operation);
                     ChangeResult::Unknown
                 }
             }
@@ -54,22 +55,25 @@
     change: &Change,
 ) -> Result<ChangeResult, TableError> {
     let key = rows::key(&change.write.row);
-    for _ in 0..HISTORY_TRIES {
-        let transaction = transaction(client, address, change).await?;
+    for _ in 0..MAX_HISTORY_ATTEMPTS {
+        let transaction = build_transaction(client, address, change).await?;
         match transact(client, address, &transaction).await? {
-            Transacted::Accepted(revision) => return Ok(ChangeResult::Accepted(revision)),
-            Transacted::Conflict(present) => {
-                if let Some(row) = present.into_iter().find(|row| row.key == key) {
-                    return Ok(ChangeResult::Conflict(self::present(change, row)?));
+            TransactionOutcome::Accepted(revision) => return Ok(ChangeResult::Accepted(revision)),
+            TransactionOutcome::Conflict(rows) => {
+                if let Some(row) = rows.into_iter().find(|row| row.key == key) {
+                    return Ok(ChangeResult::Conflict(current_row(change, row)?));
                 }
             }
         }
     }
-    Err(TableError::Answer("the history kept changing".to_owned()))
+    Err(TableError::Answer(
+        "the contract's history changed during every attempt".to_owned(),
+    ))
 }
 
-/// Makes the transaction of a change: the row and, for a contract, its history.
-async fn transaction(
+/// Builds the transaction that writes the row of a change and, for a contract,
+/// its history.
+async fn build_transaction(
     client: &Client,
     address: SocketAddr,
     change: &Change,
@@ -77,7 +81,7 @@
     let row = &change.write.row;
     let write = rows::write(row)?;
     let mut transaction = Transaction {
-        operation: operation(change, &write),
+        operation: operation_id(change, &write),
         conditions: vec![Condition {
             key: rows::key(row),
             revision: change.write.expected,
@@ -91,7 +95,7 @@
             key: key.clone(),
             revision: history.revision,
         });
-        let entries = appended(history.entries, change, contract);
+        let entries = append_to_history(history.entries, change, contract);
         transaction.writes.push(Write {
             key,
             value: Some(rows::to_value(&entries)?),
@@ -100,17 +104,18 @@
     Ok(transaction)
 }
 
-/// Returns the id by which the table knows the operation.
+/// Returns the id of the operation in the table.
 ///
-/// It covers what is written, so that an operator's id that comes again with
-/// another change does not pass for the first.
-fn operation(change: &Change, write: &Write) -> String {
+/// The id includes a hash of the written row. If an operator reuses an operation
+/// id for another change, the table therefore does not take the change for a
+/// repetition.
+fn operation_id(change: &Change, write: &Write) -> String {
     let value = write.value.clone().unwrap_or_default();
     let text = format!("{} {} {value}", write.key, change.write.expected);
     format!("{}-{:016x}", change.operation, xxh3_64(text.as_bytes()))
 }
 
-fn appended(
+fn append_to_history(
     mut entries: Vec<HistoryEntry>,
     change: &Change,
     contract: &Contract,
@@ -122,7 +127,7 @@
         replaced: change.write.expected,
         contract: contract.clone(),
     });
-    let excess = entries.len().saturating_sub(MAX_HISTORY);
+    let excess = entries.len().saturating_sub(MAX_HISTORY_ENTRIES);
     entries.drain(..excess);
     entries
 }
@@ -146,16 +151,16 @@
     }
 }
 
-fn present(change: &Change, row: RowReply) -> Result<Present, TableError> {
-    let mut present = Present {
+fn current_row(change: &Change, row: RowReply) -> Result<Present, TableError> {
+    let mut current = Present {
         revision: row.revision,
         ..Present::default()
     };
     if row.revision > 0 {
         match change.write.row {
-            TableRow::Contract(_) => present.contract = Some(rows::from_value(row.value)?),
-            _ => present.drain = Some(rows::from_value(row.value)?),
+            TableRow::Contract(_) => current.contract = Some(rows::from_value(row.value)?),
+            _ => current.drain = Some(rows::from_value(row.value)?),
         }
     }
-    Ok(present)
+    Ok(current)
 }
--- a/crates/table/src/http_table.rs
+++ b/crates/table/src/http_table.rs
@@ -1,4 +1,4 @@
-//! The table over HTTP.
+//! Client of the platform's table over HTTP.
 
 use {
     crate::{
@@ -10,13 +10,13 @@
     std::{fmt, net::SocketAddr},
 };
 
-/// How long the table may take for one answer, in milliseconds.
+/// Time limit for the head of the table's answer, and again for its body.
 const ANSWER_TIMEOUT: Millis = Millis(500);
 
-/// Longest answer of the table, in bytes.
+/// Longest answer of the table that the client accepts, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// Client of the table.
+/// Client of the platform's table.
 #[derive(Clone)]
 pub struct HttpTable {
     address: SocketAddr,
@@ -32,7 +32,7 @@
 }
 
 impl HttpTable {
-    /// Makes a client of the table at `address`.
+    /// Creates a client of the table at `address`.
     #[must_use]
     pub fn new(address: SocketAddr, client: Client) -> Self {
         Self { address, client }
@@ -59,7 +59,10 @@
             match try_write(&client, address, &write, operation).await {
                 Ok(result) => result,
                 Err(error) => {
-                    log::warn!("write of {} has no answer: {error}", rows::key(&write.row));
+                    log::warn!(
+                        "result of the write of row {} is unknown: {error}",
+                        rows::key(&write.row)
+                    );
                     WriteResult::Unknown
                 }
             }
@@ -82,9 +85,9 @@
         writes: vec![rows::write(&write.row)?],
     };
     match transact(client, address, &transaction).await? {
-        Transacted::Accepted(revision) => Ok(WriteResult::Accepted(revision)),
-        Transacted::Conflict(present) => {
-            let revision = present.first().map_or(0, |row| row.revision);
+        TransactionOutcome::Accepted(revision) => Ok(WriteResult::Accepted(revision)),
+        TransactionOutcome::Conflict(rows) => {
+            let revision = rows.first().map_or(0, |row| row.revision);
             Ok(WriteResult::Conflict(revision))
         }
     }
@@ -105,45 +108,46 @@
     if res.status() != StatusCode::OK {
         return Err(TableError::Status(res.status().as_u16()));
     }
-    let buf = body(&res).await?;
-    parse(&buf)
+    let buf = read_body(&res).await?;
+    parse_json(&buf)
 }
 
-/// What became of a transaction.
-pub(crate) enum Transacted {
-    /// It took effect at this revision.
+/// Result of a transaction.
+pub(crate) enum TransactionOutcome {
+    /// The transaction took effect at this revision.
     Accepted(Revision),
-    /// These rows did not have the expected revisions.
+    /// The transaction had no effect, since these rows do not have the expected
+    /// revisions.
     Conflict(Vec<RowReply>),
 }
 
-/// Sends a transaction.
+/// Sends a transaction to the table.
 pub(crate) async fn transact(
     client: &Client,
     address: SocketAddr,
     transaction: &Transaction,
-) -> Result<Transacted, TableError> {
+) -> Result<TransactionOutcome, TableError> {
     let res = client
         .post(format!("http://{address}/transactions"))
         .timeout(ANSWER_TIMEOUT)
         .send_json(transaction)
         .await
         .map_err(|e| TableError::Unreachable(e.to_string()))?;
-    let buf = body(&res).await?;
+    let buf = read_body(&res).await?;
     match res.status() {
         StatusCode::OK => {
-            let reply: TransactionReply = parse(&buf)?;
-            Ok(Transacted::Accepted(reply.revision))
+            let reply: TransactionReply = parse_json(&buf)?;
+            Ok(TransactionOutcome::Accepted(reply.revision))
         }
         StatusCode::CONFLICT => {
-            let reply: ConflictReply = parse(&buf)?;
-            Ok(Transacted::Conflict(reply.rows))
+            let reply: ConflictReply = parse_json(&buf)?;
+            Ok(TransactionOutcome::Conflict(reply.rows))
         }
         status => Err(TableError::Status(status.as_u16())),
     }
 }
 
-async fn body(res: &ntex::client::ClientResponse) -> Result<ntex::util::Bytes, TableError> {
+async fn read_body(res: &ntex::client::ClientResponse) -> Result<ntex::util::Bytes, TableError> {
     res.body()
         .limit(MAX_ANSWER_BYTES)
         .timeout(ANSWER_TIMEOUT)
@@ -151,6 +155,6 @@
         .map_err(|e| TableError::Unreachable(e.to_string()))
 }
 
-fn parse<T: serde::de::DeserializeOwned>(buf: &[u8]) -> Result<T, TableError> {
+fn parse_json<T: serde::de::DeserializeOwned>(buf: &[u8]) -> Result<T, TableError> {
     serde_json::from_slice(buf).map_err(|e| TableError::Answer(e.to_string()))
 }
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,4 +1,5 @@
-//! The platform's transactional table, as the dispatcher uses it.
+//! Access to the platform's transactional table: the dispatcher's rows there, and
+//! an HTTP client.
 
 mod change;
 mod configuration_store;
--- a/crates/table/src/rows.rs
+++ b/crates/table/src/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the dispatcher, as keys and values of the table.
+//! Conversion between the dispatcher's rows and the table's keys and values.
 
 use {
     crate::{RowReply, RowsReply, TableError, Write},
@@ -7,7 +7,7 @@
     serde_json::Value,
 };
 
-/// Beginning of the keys of all rows that entries follow.
+/// Prefix of the keys of all rows that entries read.
 pub(crate) const SITE: &str = "site/";
 
 const MEMBER: &str = "site/entry/";
@@ -32,7 +32,7 @@
     format!("{HISTORY}{contract}")
 }
 
-/// Returns the write of a row.
+/// Returns the write that sets or removes a row.
 pub(crate) fn write(row: &TableRow) -> Result<Write, TableError> {
     let value = match row {
         TableRow::Member(member) => Some(to_value(member)?),
@@ -47,19 +47,20 @@
     })
 }
 
-/// Sorts rows into a snapshot; a row of another program is passed over.
+/// Builds a snapshot from rows of the table; ignores rows whose keys have none of
+/// the dispatcher's prefixes.
 pub(crate) fn snapshot(reply: RowsReply) -> Result<TableSnapshot, TableError> {
     let mut snapshot = TableSnapshot {
         revision: reply.revision,
         ..TableSnapshot::default()
     };
     for row in reply.rows {
-        take(&mut snapshot, row)?;
+        add_row(&mut snapshot, row)?;
     }
     Ok(snapshot)
 }
 
-fn take(snapshot: &mut TableSnapshot, row: RowReply) -> Result<(), TableError> {
+fn add_row(snapshot: &mut TableSnapshot, row: RowReply) -> Result<(), TableError> {
     let revision = row.revision;
     if let Some(entry) = row.key.strip_prefix(MEMBER) {
         let value = from_value(row.value)?;
@@ -70,13 +71,13 @@
         let owner = Versioned { value, revision };
         snapshot.owners.insert(owner.value.shard, owner);
     } else if let Some(id) = row.key.strip_prefix(CONTRACT) {
-        raise(&mut snapshot.configuration, revision);
+        raise_revision(&mut snapshot.configuration, revision);
         let contract = from_value(row.value)?;
         let configuration = &mut snapshot.configuration;
         configuration.contracts.insert(id.into(), contract);
         configuration.rows.contracts.insert(id.into(), revision);
     } else if let Some(endpoint) = row.key.strip_prefix(DRAIN) {
-        raise(&mut snapshot.configuration, revision);
+        raise_revision(&mut snapshot.configuration, revision);
         let state = from_value(row.value)?;
         let configuration = &mut snapshot.configuration;
         configuration.drains.insert(endpoint.into(), state);
@@ -86,12 +87,12 @@
     Ok(())
 }
 
-fn raise(configuration: &mut Configuration, revision: u64) {
+fn raise_revision(configuration: &mut Configuration, revision: u64) {
     configuration.revision = configuration.revision.max(revision);
 }
 
-pub(crate) fn to_value(of: &impl Serialize) -> Result<Value, TableError> {
-    serde_json::to_value(of).map_err(|e| TableError::Answer(e.to_string()))
+pub(crate) fn to_value(row: &impl Serialize) -> Result<Value, TableError> {
+    serde_json::to_value(row).map_err(|e| TableError::Answer(e.to_string()))
 }
 
 pub(crate) fn from_value<T: DeserializeOwned>(value: Value) -> Result<T, TableError> {
--- a/crates/table/src/table.rs
+++ b/crates/table/src/table.rs
@@ -1,4 +1,4 @@
-//! The border between the dispatcher and the platform's table.
+//! Interface between the dispatcher and the platform's table.
 
 use {
     crate::TableError,
@@ -6,14 +6,15 @@
     std::{fmt, future::Future, pin::Pin},
 };
 
-/// An answer that comes later, on the same loop.
+/// An answer of the table that arrives later, on the loop of the process.
 pub type Answer<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// The platform's table.
+/// Access to the dispatcher's rows in the platform's table.
 pub trait Table: fmt::Debug {
-    /// Reads every row of the dispatcher.
+    /// Reads all rows of the dispatcher.
     fn read(&self) -> Answer<Result<TableSnapshot, TableError>>;
 
-    /// Writes a row on a condition; `operation` makes a repetition harmless.
+    /// Writes a row if it has the expected revision. A repetition with the same
+    /// `operation` id has no further effect.
     fn write(&self, write: TableWrite, operation: String) -> Answer<WriteResult>;
 }
--- a/crates/table/src/wire.rs
+++ b/crates/table/src/wire.rs
@@ -1,4 +1,4 @@
-//! The table's published format: JSON over HTTP.
+//! The JSON bodies of the table's published HTTP interface.
 
 use {
     chestnutrun_types::Revision,
@@ -6,32 +6,32 @@
     serde_json::Value,
 };
 
-/// One row.
+/// A row of the table, as an answer returns it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RowReply {
     /// Key of the row.
     pub key: String,
-    /// What the row says.
+    /// Value of the row.
     pub value: Value,
-    /// Revision of its last write.
+    /// Revision of the row's last write.
     pub revision: Revision,
 }
 
-/// Rows with a common beginning of their keys.
+/// Answer to a read: all rows whose keys have the requested prefix.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RowsReply {
     /// Revision of the table.
     pub revision: Revision,
-    /// The rows, by key.
+    /// The rows, sorted by key.
     pub rows: Vec<RowReply>,
 }
 
-/// What must hold for a transaction to take effect.
+/// A condition on one row that must hold for a transaction to take effect.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Condition {
     /// Key of the row.
     pub key: String,
-    /// Revision that it must have; 0 where it must not exist.
+    /// Revision that the row must have; 0 where the row must not exist.
     pub revision: Revision,
 }
 
@@ -40,31 +40,32 @@
 pub struct Write {
     /// Key of the row.
     pub key: String,
-    /// What it shall say; none removes it.
+    /// New value of the row; none removes the row.
     pub value: Option<Value>,
 }
 
-/// A conditional transaction.
+/// Request for a transaction: all writes take effect, or none where a condition
+/// does not hold.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Transaction {
-    /// Id of the operation; one that took effect is not repeated.
+    /// Id of the operation; a repetition with the same id has no further effect.
     pub operation: String,
-    /// What must hold.
+    /// Conditions that must all hold.
     pub conditions: Vec<Condition>,
-    /// What to write.
+    /// Rows to write.
     pub writes: Vec<Write>,
 }
 
-/// A transaction took effect.
+/// Answer to a transaction that took effect.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TransactionReply {
-    /// Revision of its writes.
+    /// Revision of the written rows.
     pub revision: Revision,
 }
 
-/// A transaction did not take effect.
+/// Answer to a transaction that did not take effect.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ConflictReply {
-    /// Present rows of the conditions that did not hold.
+    /// Current rows of the conditions that did not hold.
     pub rows: Vec<RowReply>,
 }
