--- a/crates/decisions/src/membership/messages.rs
+++ b/crates/decisions/src/membership/messages.rs
@@ -4,7 +4,7 @@
     chestnutrun_types::{
         Acknowledgement, AgentHello, Configuration, Confirmation, EndpointId, EntryId, Epoch,
         Incarnation, KeyHash, KnownAgents, MemberList, Nonce, ShardId, ShardOwner, TableSnapshot,
-        TableWrite, Vouch, Vouched, WriteResult,
+        TableWrite, VoteRequest, Vouched, WriteResult,
     },
     std::time::Instant,
 };
@@ -19,7 +19,7 @@
     /// The sender took note of an ownership.
     Acknowledgement(Acknowledgement),
     /// Is the sender's ownership valid?
-    Vouch(Vouch),
+    Vouch(VoteRequest),
     /// The ownership is valid.
     Vouched(Vouched),
 }
--- a/crates/decisions/src/membership/vouching.rs
+++ b/crates/decisions/src/membership/vouching.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::membership::{EntryMessage, MembershipMachine},
-    chestnutrun_types::{EntryId, Epoch, Nonce, Now, ShardId, Testimony, Vouch, Vouched},
+    chestnutrun_types::{EntryId, Epoch, Nonce, Now, ShardId, Testimony, VoteRequest, Vouched},
     indexmap::{IndexMap, IndexSet},
     std::time::{Duration, Instant},
 };
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(super) struct VouchQuestion {
     from: EntryId,
-    question: Vouch,
+    question: VoteRequest,
     at: Instant,
 }
 
@@ -40,7 +40,7 @@
     }
 
     /// Answers an owner's question, at once or after the next read.
-    pub(super) fn asked_to_vouch(&mut self, now: Now, from: &EntryId, question: Vouch) {
+    pub(super) fn asked_to_vouch(&mut self, now: Now, from: &EntryId, question: VoteRequest) {
         self.vouch_questions.push(VouchQuestion {
             from: from.clone(),
             question,
@@ -106,7 +106,7 @@
         let mut questions = Vec::new();
         for (shard, owned) in &self.owned {
             words.insert(*shard, IndexSet::from([me.clone()]));
-            let question = Vouch {
+            let question = VoteRequest {
                 nonce,
                 shard: *shard,
                 epoch: owned.owner.epoch,
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -229,7 +229,7 @@
             Message::Reply(reply) => self.front(now, FrontInput::Reply(reply)),
             Message::Owner(owner) => self.peer_message(now, entry, EntryMessage::Owner(owner)),
             Message::Agents(agents) => self.peer_message(now, entry, EntryMessage::Agents(agents)),
-            Message::Vouch(request) => {
+            Message::VoteRequest(request) => {
                 self.peer_message(now, entry, EntryMessage::Vouch(request));
             }
             Message::Vouched(vote) => {
@@ -386,7 +386,7 @@
             EntryMessage::Acknowledgement(ack) => {
                 self.answer_entry(entry, Message::Acknowledgement(ack));
             }
-            EntryMessage::Vouch(request) => self.send_entry(entry, Message::Vouch(request)),
+            EntryMessage::Vouch(request) => self.send_entry(entry, Message::VoteRequest(request)),
             EntryMessage::Vouched(vote) => self.answer_entry(entry, Message::Vouched(vote)),
         }
     }
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -5,7 +5,8 @@
         Acknowledgement, AgentHello, AgentId, AgentUpdate, Assignment, Configuration, Confirm,
         Confirmation, EndpointInfo, Fence, FenceReply, Finished, Incarnation, JobRef, JobReply,
         KeyHash, KnownAgents, Lookup, LookupReply, Member, MemberList, Resync, Revocation,
-        RoutingTable, RoutingVersion, ShardOwner, Start, StartRefused, Submit, Vouch, Vouched,
+        RoutingTable, RoutingVersion, ShardOwner, Start, StartRefused, Submit, VoteRequest,
+        Vouched,
     },
     serde::{Deserialize, Serialize},
 };
@@ -80,8 +81,9 @@
     /// Entry to entry: the sender has recorded an ownership.
     Acknowledgement(Acknowledgement),
     /// Entry to entry: asks the receiver to vote for the sender's ownership.
-    Vouch(Vouch),
-    /// Entry to entry: a vote for the receiver's ownership, in answer to `Vouch`.
+    #[serde(rename = "vouch")]
+    VoteRequest(VoteRequest),
+    /// Entry to entry: a vote for the receiver's ownership, in answer to `VoteRequest`.
     Vouched(Vouched),
     /// Entry to entry: the runs of agents that the sender knows of.
     Agents(KnownAgents),
@@ -130,7 +132,7 @@
             Self::Owner(_) => "owner",
             Self::Acknowledgement(_) => "acknowledgement",
             Self::Agents(_) => "agents",
-            Self::Vouch(_) => "vouch",
+            Self::VoteRequest(_) => "vouch",
             Self::Vouched(_) => "vouched",
             Self::Departed(_) => "departed",
             Self::Resync(_) => "resync",
--- a/crates/types/src/exchange.rs
+++ b/crates/types/src/exchange.rs
@@ -77,7 +77,7 @@
 /// Asks for a vote: an owner that cannot read the table sends it to the voters of
 /// a shard to learn whether its ownership is still valid.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Vouch {
+pub struct VoteRequest {
     /// Number that the vote repeats.
     pub nonce: Nonce,
     /// The shard that is owned.
@@ -96,12 +96,12 @@
     Word,
 }
 
-/// A vote for an ownership, in answer to [`Vouch`]. It states that the ownership
+/// A vote for an ownership, in answer to [`VoteRequest`]. It states that the ownership
 /// was valid after the voter received the request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Vouched {
     /// The request that the vote answers.
-    pub question: Vouch,
+    pub question: VoteRequest,
     /// What the vote is based on.
     pub testimony: Testimony,
 }
