--- a/crates/decisions/src/membership/messages.rs
+++ b/crates/decisions/src/membership/messages.rs
@@ -4,7 +4,7 @@
     chestnutrun_types::{
         Acknowledgement, AgentHello, Configuration, Confirmation, EndpointId, EntryId, Epoch,
         Incarnation, KeyHash, KnownAgents, MemberList, Nonce, ShardId, ShardOwner, TableSnapshot,
-        TableWrite, VoteRequest, Vouched, WriteResult,
+        TableWrite, Vote, VoteRequest, WriteResult,
     },
     std::time::Instant,
 };
@@ -21,7 +21,7 @@
     /// Is the sender's ownership valid?
     Vouch(VoteRequest),
     /// The ownership is valid.
-    Vouched(Vouched),
+    Vouched(Vote),
 }
 
 /// What the machine takes.
--- a/crates/decisions/src/membership/vouching.rs
+++ b/crates/decisions/src/membership/vouching.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::membership::{EntryMessage, MembershipMachine},
-    chestnutrun_types::{EntryId, Epoch, Nonce, Now, ShardId, Testimony, VoteRequest, Vouched},
+    chestnutrun_types::{EntryId, Epoch, Nonce, Now, ShardId, Testimony, Vote, VoteRequest},
     indexmap::{IndexMap, IndexSet},
     std::time::{Duration, Instant},
 };
@@ -52,7 +52,7 @@
     }
 
     /// Takes another entry's answer.
-    pub(super) fn vouched(&mut self, from: &EntryId, vouched: Vouched) {
+    pub(super) fn vouched(&mut self, from: &EntryId, vouched: Vote) {
         let question = vouched.question;
         let Some(round) = &mut self.round else {
             return;
@@ -126,7 +126,7 @@
     }
 
     fn testify(&mut self, question: &VouchQuestion, testimony: Testimony) {
-        let vouched = Vouched {
+        let vouched = Vote {
             question: question.question,
             testimony,
         };
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -232,7 +232,7 @@
             Message::VoteRequest(request) => {
                 self.peer_message(now, entry, EntryMessage::Vouch(request));
             }
-            Message::Vouched(vote) => {
+            Message::Vote(vote) => {
                 self.peer_message(now, entry, EntryMessage::Vouched(vote));
             }
             Message::Acknowledgement(ack) => {
@@ -387,7 +387,7 @@
                 self.answer_entry(entry, Message::Acknowledgement(ack));
             }
             EntryMessage::Vouch(request) => self.send_entry(entry, Message::VoteRequest(request)),
-            EntryMessage::Vouched(vote) => self.answer_entry(entry, Message::Vouched(vote)),
+            EntryMessage::Vouched(vote) => self.answer_entry(entry, Message::Vote(vote)),
         }
     }
 
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -48,7 +48,7 @@
                 self.answer_entry(entry, Message::Acknowledgement(acknowledgement));
             }
             EntryMessage::Vouch(question) => self.send_entry(entry, Message::VoteRequest(question)),
-            EntryMessage::Vouched(vouched) => self.answer_entry(entry, Message::Vouched(vouched)),
+            EntryMessage::Vouched(vouched) => self.answer_entry(entry, Message::Vote(vouched)),
         }
     }
 
@@ -202,7 +202,7 @@
             Message::Owner(owner) => self.entry_says(entry, EntryMessage::Owner(owner)),
             Message::Agents(agents) => self.entry_says(entry, EntryMessage::Agents(agents)),
             Message::VoteRequest(question) => self.entry_says(entry, EntryMessage::Vouch(question)),
-            Message::Vouched(vouched) => self.entry_says(entry, EntryMessage::Vouched(vouched)),
+            Message::Vote(vouched) => self.entry_says(entry, EntryMessage::Vouched(vouched)),
             Message::Acknowledgement(acknowledgement) => {
                 let message = EntryMessage::Acknowledgement(acknowledgement);
                 self.entry_says(entry, message);
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -5,8 +5,7 @@
         Acknowledgement, AgentHello, AgentId, AgentUpdate, Assignment, Configuration, Confirm,
         Confirmation, EndpointInfo, Fence, FenceReply, Finished, Incarnation, JobRef, JobReply,
         KeyHash, KnownAgents, Lookup, LookupReply, Member, MemberList, Resync, Revocation,
-        RoutingTable, RoutingVersion, ShardOwner, Start, StartRefused, Submit, VoteRequest,
-        Vouched,
+        RoutingTable, RoutingVersion, ShardOwner, Start, StartRefused, Submit, Vote, VoteRequest,
     },
     serde::{Deserialize, Serialize},
 };
@@ -83,8 +82,10 @@
     /// Entry to entry: asks the receiver to vote for the sender's ownership.
     #[serde(rename = "vouch")]
     VoteRequest(VoteRequest),
-    /// Entry to entry: a vote for the receiver's ownership, in answer to `VoteRequest`.
-    Vouched(Vouched),
+    /// Entry to entry: a vote for the receiver's ownership, in answer to
+    /// `VoteRequest`.
+    #[serde(rename = "vouched")]
+    Vote(Vote),
     /// Entry to entry: the runs of agents that the sender knows of.
     Agents(KnownAgents),
     /// Agent to entry: the state of the entry's assignments, sent first on a link.
@@ -133,7 +134,7 @@
             Self::Acknowledgement(_) => "acknowledgement",
             Self::Agents(_) => "agents",
             Self::VoteRequest(_) => "vouch",
-            Self::Vouched(_) => "vouched",
+            Self::Vote(_) => "vouched",
             Self::Departed(_) => "departed",
             Self::Resync(_) => "resync",
             Self::Endpoint(_) => "endpoint",
--- a/crates/types/src/exchange.rs
+++ b/crates/types/src/exchange.rs
@@ -99,7 +99,7 @@
 /// A vote for an ownership, in answer to [`VoteRequest`]. It states that the ownership
 /// was valid after the voter received the request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Vouched {
+pub struct Vote {
     /// The request that the vote answers.
     pub question: VoteRequest,
     /// What the vote is based on.
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -33,8 +33,8 @@
     exchange::{
         Acknowledgement, AgentHello, Confirm, Confirmation, Fence, FenceReply, Finished, JobReply,
         KeyHash, KnownAgents, KnownRun, Lookup, LookupReply, RecordState, Reply, RunRecords,
-        SentStart, Start, StartRefusal, StartRefused, Submit, TaskRecord, Testimony, VoteRequest,
-        Vouched,
+        SentStart, Start, StartRefusal, StartRefused, Submit, TaskRecord, Testimony, Vote,
+        VoteRequest,
     },
     ids::*,
     job::{JobError, JobRef, JobSpec, MAX_TASKS_PER_JOB},
