--- a/crates/types/src/exchange.rs
+++ b/crates/types/src/exchange.rs
@@ -89,7 +89,7 @@
 /// What a vote is based on.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Testimony {
+pub enum VoteBasis {
     /// The voter read the table after it received the request.
     Read,
     /// The voter cannot read the table and knows of no later ownership.
@@ -103,7 +103,7 @@
     /// The request that the vote answers.
     pub question: VoteRequest,
     /// What the vote is based on.
-    pub testimony: Testimony,
+    pub testimony: VoteBasis,
 }
 
 /// A submission that an entry forwards to the owner of the job's shard.
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -33,7 +33,7 @@
     exchange::{
         Acknowledgement, AgentHello, Confirm, Confirmation, Fence, FenceReply, Finished, JobReply,
         KeyHash, KnownAgents, KnownRun, Lookup, LookupReply, RecordState, Reply, RunRecords,
-        SentStart, Start, StartRefusal, StartRefused, Submit, TaskRecord, Testimony, Vote,
+        SentStart, Start, StartRefusal, StartRefused, Submit, TaskRecord, Vote, VoteBasis,
         VoteRequest,
     },
     ids::*,
