--- a/crates/decisions/src/membership/vouching.rs
+++ b/crates/decisions/src/membership/vouching.rs
@@ -66,7 +66,7 @@
         let began_at = round.began_at;
         let words = round.words.entry(question.shard).or_default();
         words.insert(from.clone());
-        if vouched.testimony == VoteBasis::Read || owned.is_vouched(words) {
+        if vouched.testimony == VoteBasis::TableRead || owned.is_vouched(words) {
             self.confirm(question.shard, began_at);
         }
     }
@@ -79,7 +79,7 @@
                 self.vouch_questions.push(question);
             } else if self.recorded_epoch(question.question.shard) == Some(question.question.epoch)
             {
-                self.testify(&question, VoteBasis::Read);
+                self.testify(&question, VoteBasis::TableRead);
             }
         }
     }
@@ -94,7 +94,7 @@
         for question in questions {
             let known = self.announced.get(&question.question.shard);
             if known.is_none_or(|epoch| *epoch <= question.question.epoch) {
-                self.testify(&question, VoteBasis::Word);
+                self.testify(&question, VoteBasis::NoLaterOwnership);
             }
         }
     }
--- a/crates/types/src/exchange.rs
+++ b/crates/types/src/exchange.rs
@@ -91,9 +91,11 @@
 #[serde(rename_all = "kebab-case")]
 pub enum VoteBasis {
     /// The voter read the table after it received the request.
-    Read,
+    #[serde(rename = "read")]
+    TableRead,
     /// The voter cannot read the table and knows of no later ownership.
-    Word,
+    #[serde(rename = "word")]
+    NoLaterOwnership,
 }
 
 /// A vote for an ownership, in answer to [`VoteRequest`]. It states that the ownership
