--- a/crates/decisions/src/membership/vouching.rs
+++ b/crates/decisions/src/membership/vouching.rs
@@ -53,7 +53,7 @@
 
     /// Takes another entry's answer.
     pub(super) fn vouched(&mut self, from: &EntryId, vouched: Vote) {
-        let question = vouched.question;
+        let question = vouched.request;
         let Some(round) = &mut self.round else {
             return;
         };
@@ -66,7 +66,7 @@
         let began_at = round.began_at;
         let words = round.words.entry(question.shard).or_default();
         words.insert(from.clone());
-        if vouched.testimony == VoteBasis::TableRead || owned.is_vouched(words) {
+        if vouched.basis == VoteBasis::TableRead || owned.is_vouched(words) {
             self.confirm(question.shard, began_at);
         }
     }
@@ -127,8 +127,8 @@
 
     fn testify(&mut self, question: &VouchQuestion, testimony: VoteBasis) {
         let vouched = Vote {
-            question: question.question,
-            testimony,
+            request: question.question,
+            basis: testimony,
         };
         self.send(&question.from, EntryMessage::Vouched(vouched));
     }
--- a/crates/types/src/exchange.rs
+++ b/crates/types/src/exchange.rs
@@ -98,14 +98,16 @@
     NoLaterOwnership,
 }
 
-/// A vote for an ownership, in answer to [`VoteRequest`]. It states that the ownership
-/// was valid after the voter received the request.
+/// A vote for an ownership, in answer to [`VoteRequest`]. It states that the
+/// ownership was valid after the voter received the request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Vote {
     /// The request that the vote answers.
-    pub question: VoteRequest,
+    #[serde(rename = "question")]
+    pub request: VoteRequest,
     /// What the vote is based on.
-    pub testimony: VoteBasis,
+    #[serde(rename = "testimony")]
+    pub basis: VoteBasis,
 }
 
 /// A submission that an entry forwards to the owner of the job's shard.
