--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -371,7 +371,7 @@
         StartRefusal::NoSlot => "no-slot",
         StartRefusal::Leaving => "leaving",
         StartRefusal::DeadlinePassed => "deadline-passed",
-        StartRefusal::Forgone => "forgone",
+        StartRefusal::Voided => "forgone",
         StartRefusal::EndpointRefused => "endpoint-refused",
         StartRefusal::Cancelled => "cancelled",
         StartRefusal::KeyReused => "key-reused",
--- a/crates/decisions/src/agent/agent_machine.rs
+++ b/crates/decisions/src/agent/agent_machine.rs
@@ -153,7 +153,7 @@
         }
         self.fence.check(now.instant, start.epoch)?;
         if self.records.is_forgone(start) {
-            return Err(StartRefusal::Forgone);
+            return Err(StartRefusal::Voided);
         }
         if self.leaving || self.draining {
             return Err(StartRefusal::Leaving);
--- a/crates/types/src/exchange.rs
+++ b/crates/types/src/exchange.rs
@@ -228,7 +228,8 @@
     /// The deadline of the start has passed.
     DeadlinePassed,
     /// The start was voided by a [`Lookup`] that reached the agent before it.
-    Forgone,
+    #[serde(rename = "forgone")]
+    Voided,
     /// The endpoint refused the task before it started.
     EndpointRefused,
     /// The task was cancelled before it started.
