--- a/crates/decisions/src/agent/record_book.rs
+++ b/crates/decisions/src/agent/record_book.rs
@@ -95,11 +95,11 @@
     /// Promises never to carry out starts of tasks without a record; returns
     /// those starts.
     pub fn forgo(&mut self, at: Instant, lookup: &Lookup) -> Vec<SentStart> {
-        if lookup.forgo.is_empty() {
+        if lookup.to_void.is_empty() {
             return Vec::new();
         }
         let records = self.job_at(at, lookup.job.clone());
-        let mut forgone = lookup.forgo.clone();
+        let mut forgone = lookup.to_void.clone();
         forgone.retain(|start| !records.started.contains_key(&start.index));
         for start in &forgone {
             let number = (lookup.epoch, start.attempt);
--- a/crates/decisions/src/owner/agents.rs
+++ b/crates/decisions/src/owner/agents.rs
@@ -166,7 +166,7 @@
             let lookup = Lookup {
                 job,
                 epoch: self.conf.epoch,
-                forgo,
+                to_void: forgo,
             };
             self.order(endpoint, AgentOrder::Lookup(lookup));
         }
--- a/crates/decisions/src/owner/recovering.rs
+++ b/crates/decisions/src/owner/recovering.rs
@@ -71,7 +71,7 @@
         let lookup = Lookup {
             job: job.clone(),
             epoch: self.conf.epoch,
-            forgo: Vec::new(),
+            to_void: Vec::new(),
         };
         self.order(endpoint, AgentOrder::Lookup(lookup));
     }
--- a/crates/types/src/exchange.rs
+++ b/crates/types/src/exchange.rs
@@ -189,7 +189,8 @@
     /// Epoch of the ownership under which the records are requested.
     pub epoch: Epoch,
     /// Starts that the agent shall void, unless it has already carried them out.
-    pub forgo: Vec<SentStart>,
+    #[serde(rename = "forgo")]
+    pub to_void: Vec<SentStart>,
 }
 
 /// Asks an agent to start one task.
