--- a/crates/decisions/src/agent/agent_machine.rs
+++ b/crates/decisions/src/agent/agent_machine.rs
@@ -172,7 +172,7 @@
         let reply = LookupReply {
             records: self.records.of_job(&lookup.job),
             job: lookup.job,
-            forgone,
+            voided: forgone,
         };
         vec![AgentAction::Send(
             entry.clone(),
--- a/crates/decisions/src/owner/agents.rs
+++ b/crates/decisions/src/owner/agents.rs
@@ -103,7 +103,7 @@
         for record in &reply.records {
             self.apply_record(now, endpoint, record);
         }
-        for start in &reply.forgone {
+        for start in &reply.voided {
             let task = reply.job.task(start.index);
             if self.attempt(&task) == start.attempt
                 && self.free_slot(now, endpoint, &task, SlotUse::Unknown)
--- a/crates/decisions/tests/owner_regressions.rs
+++ b/crates/decisions/tests/owner_regressions.rs
@@ -209,7 +209,7 @@
     let reply = LookupReply {
         job: job(),
         records: Vec::new(),
-        forgone: vec![voided],
+        voided: vec![voided],
     };
     let actions = owner.handle(OwnerInput::LookupReply(endpoint.clone(), reply.clone()));
     let second = starts(&actions).remove(0);
@@ -310,7 +310,7 @@
     let read = LookupReply {
         job: job(),
         records: vec![record],
-        forgone: Vec::new(),
+        voided: Vec::new(),
     };
     let endpoint = hello(0, 1).endpoint;
     let mut actions = owner.handle(OwnerInput::LookupReply(endpoint.clone(), read.clone()));
@@ -344,7 +344,7 @@
     let read = |records| LookupReply {
         job: job(),
         records,
-        forgone: Vec::new(),
+        voided: Vec::new(),
     };
     let first = read(vec![record]);
     owner.handle(OwnerInput::LookupReply(hello(0, 1).endpoint, first));
--- a/crates/types/src/exchange.rs
+++ b/crates/types/src/exchange.rs
@@ -345,5 +345,6 @@
     /// The agent's records of the job.
     pub records: Vec<TaskRecord>,
     /// Starts of the request that the agent voided and will never carry out.
-    pub forgone: Vec<SentStart>,
+    #[serde(rename = "forgone")]
+    pub voided: Vec<SentStart>,
 }
