--- a/crates/decisions/src/guard/run.rs
+++ b/crates/decisions/src/guard/run.rs
@@ -2,8 +2,8 @@
 
 use {
     chestnutrun_types::{
-        AssignedTask, AssignmentId, EndKind, EntryId, Incarnation, RunNumber, StepTask, TaskEnd,
-        TaskId,
+        AssignedTask, AssignmentId, EndKind, EntryId, Incarnation, RunNumber, TaskEnd, TaskId,
+        TaskPosition,
     },
     std::{
         sync::Arc,
@@ -33,7 +33,7 @@
     /// Run of the entry: each counts its assignments anew.
     pub(crate) incarnation: Incarnation,
     pub(crate) assignment: AssignmentId,
-    pub(crate) at: StepTask,
+    pub(crate) at: TaskPosition,
 }
 
 /// One task that an entry assigned.
--- a/crates/decisions/src/placement/agents_side.rs
+++ b/crates/decisions/src/placement/agents_side.rs
@@ -10,7 +10,7 @@
     },
     chestnutrun_types::{
         AgentId, AgentUpdate, AssignmentId, DecisionNote, EndKind, EndpointInfo, Incarnation,
-        Resync, Revocation, StepTask, TaskEnd,
+        Resync, Revocation, TaskEnd, TaskPosition,
     },
     std::time::Instant,
 };
@@ -53,7 +53,7 @@
         &mut self,
         now: Instant,
         agent: &AgentId,
-        live: &[(AssignmentId, StepTask)],
+        live: &[(AssignmentId, TaskPosition)],
         ends: Vec<TaskEnd>,
     ) {
         for end in ends {
--- a/crates/decisions/src/placement/held_job.rs
+++ b/crates/decisions/src/placement/held_job.rs
@@ -11,7 +11,7 @@
     },
     chestnutrun_types::{
         AgentId, AssignmentId, BestEffortJob, DecisionNote, Route, RunNumber, StepIndex, StepSpec,
-        StepTask,
+        TaskPosition,
     },
     std::{rc::Rc, sync::Arc, time::Instant},
 };
@@ -43,7 +43,7 @@
     pub(crate) fn new(now: Instant, submission: Submission, objective: Objective) -> Self {
         let mut tasks = Vec::new();
         for (step, spec) in (0..).zip(&submission.job.steps) {
-            let of_step = (0..spec.tasks).map(|index| HeldTask::new(StepTask { step, index }));
+            let of_step = (0..spec.tasks).map(|index| HeldTask::new(TaskPosition { step, index }));
             tasks.extend(of_step);
         }
         Self {
@@ -64,7 +64,7 @@
         &self.job.steps[usize::from(step)]
     }
 
-    pub(crate) fn task_mut(&mut self, at: StepTask) -> Option<&mut HeldTask> {
+    pub(crate) fn task_mut(&mut self, at: TaskPosition) -> Option<&mut HeldTask> {
         self.tasks.iter_mut().find(|task| task.at == at)
     }
 
--- a/crates/decisions/src/placement/held_task.rs
+++ b/crates/decisions/src/placement/held_task.rs
@@ -1,7 +1,7 @@
 //! One task of a job that an entry holds.
 
 use {
-    chestnutrun_types::{AgentId, AssignmentId, EndpointId, StepTask},
+    chestnutrun_types::{AgentId, AssignmentId, EndpointId, TaskPosition},
     std::time::Instant,
 };
 
@@ -21,7 +21,7 @@
 /// One task of a job that an entry holds.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldTask {
-    pub(crate) at: StepTask,
+    pub(crate) at: TaskPosition,
     pub(crate) state: TaskState,
     /// Runs that failed and were not blamed on the endpoint.
     pub(crate) failures: u32,
@@ -30,7 +30,7 @@
 }
 
 impl HeldTask {
-    pub(crate) fn new(at: StepTask) -> Self {
+    pub(crate) fn new(at: TaskPosition) -> Self {
         Self {
             at,
             state: TaskState::Waiting,
--- a/crates/decisions/src/placement/places.rs
+++ b/crates/decisions/src/placement/places.rs
@@ -2,7 +2,9 @@
 
 use {
     crate::placement::{endpoint_view::EndpointView, held_job::HeldJob, held_task::HeldTask},
-    chestnutrun_types::{AgentId, EndpointInfo, JobId, Label, Room, StepSpec, StepTask, ZoneId},
+    chestnutrun_types::{
+        AgentId, EndpointInfo, JobId, Label, Room, StepSpec, TaskPosition, ZoneId,
+    },
     indexmap::IndexMap,
     xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed},
 };
@@ -78,14 +80,14 @@
         &mut self,
         job: &HeldJob,
         tasks: &[HeldTask],
-    ) -> IndexMap<AgentId, Vec<StepTask>> {
+    ) -> IndexMap<AgentId, Vec<TaskPosition>> {
         let rack = job.job.steps.iter().find_map(|step| step.rack.as_ref());
         for candidate in &mut self.candidates {
             candidate.cost = candidate.cost(rack, &job.job.id);
             candidate.half = candidate.free.half();
         }
         self.candidates.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-        let mut chosen: IndexMap<AgentId, Vec<StepTask>> = IndexMap::new();
+        let mut chosen: IndexMap<AgentId, Vec<TaskPosition>> = IndexMap::new();
         for task in tasks {
             let step = job.step(task.at.step);
             // Half of an endpoint's room is left to other entries, which do not
@@ -139,7 +141,7 @@
         &self,
         task: &HeldTask,
         step: &StepSpec,
-        chosen: &IndexMap<AgentId, Vec<StepTask>>,
+        chosen: &IndexMap<AgentId, Vec<TaskPosition>>,
     ) -> bool {
         let given = chosen.get(&self.agent).map_or(&[][..], Vec::as_slice);
         let of_step = given.iter().filter(|at| at.step == task.at.step).count();
--- a/crates/decisions/src/placement/placing.rs
+++ b/crates/decisions/src/placement/placing.rs
@@ -5,7 +5,7 @@
         placement::{CallerId, DispatchAction, Dispatcher, held_task::TaskState, places::Places},
         timing::millis,
     },
-    chestnutrun_types::{AgentId, AssignedTask, Assignment, DecisionNote, Room, StepTask},
+    chestnutrun_types::{AgentId, AssignedTask, Assignment, DecisionNote, Room, TaskPosition},
     std::time::{Duration, Instant},
 };
 
@@ -63,7 +63,7 @@
         now: Instant,
         caller: CallerId,
         agent: &AgentId,
-        tasks: &[StepTask],
+        tasks: &[TaskPosition],
     ) {
         let id = self.next_assignment;
         let Some(job) = self.jobs.get_mut(&caller) else {
--- a/crates/decisions/tests/guard.rs
+++ b/crates/decisions/tests/guard.rs
@@ -6,7 +6,7 @@
         ListOrder, ListReply, ListedEnd, OrderFault, RunEnd, StartOrder,
     },
     chestnutrun_types::{
-        AssignedTask, Assignment, EndpointInfo, EntryId, Now, Revocation, Room, StepTask,
+        AssignedTask, Assignment, EndpointInfo, EntryId, Now, Revocation, Room, TaskPosition,
     },
     rstest::rstest,
     std::time::{Duration, Instant, SystemTime},
@@ -45,7 +45,7 @@
 
 fn assignment(id: u64, job: &str) -> Assignment {
     let task = AssignedTask {
-        at: StepTask { step: 0, index: 0 },
+        at: TaskPosition { step: 0, index: 0 },
         need: Room {
             cpu_millis: 1_000,
             memory_mb: 1,
--- a/crates/observe/tests/logs_page.rs
+++ b/crates/observe/tests/logs_page.rs
@@ -2,13 +2,13 @@
 
 use {
     chestnutrun_observe::LogLine,
-    chestnutrun_types::{DecisionNote, EndKind, StepTask},
+    chestnutrun_types::{DecisionNote, EndKind, TaskPosition},
     indexmap::{IndexMap, IndexSet},
     rstest::rstest,
     std::fs,
 };
 
-const TASK: StepTask = StepTask { step: 0, index: 0 };
+const TASK: TaskPosition = TaskPosition { step: 0, index: 0 };
 
 /// One of each decision.
 fn one_of_each() -> Vec<DecisionNote> {
--- a/crates/types/src/assignment.rs
+++ b/crates/types/src/assignment.rs
@@ -8,7 +8,7 @@
 
 /// Position of a task within its job: the step, and the task in that step.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
-pub struct StepTask {
+pub struct TaskPosition {
     /// Index of the step in the job.
     pub step: StepIndex,
     /// Index of the task in the step.
@@ -21,7 +21,7 @@
     /// The job that the task belongs to.
     pub job: JobId,
     /// Position of the task in the job.
-    pub at: StepTask,
+    pub at: TaskPosition,
 }
 
 impl fmt::Display for TaskId {
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AssignedTask {
     /// Position of the task in the job.
-    pub at: StepTask,
+    pub at: TaskPosition,
     /// Resources that the task needs.
     pub need: Room,
     /// Run time that the entry expects on a healthy endpoint.
--- a/crates/types/src/decision_note.rs
+++ b/crates/types/src/decision_note.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         AgentId, AssignmentId, EndKind, EndpointId, EntryId, Incarnation, JobId, Revision, RouteId,
-        RoutingVersion, RunNumber, ServiceId, StepTask,
+        RoutingVersion, RunNumber, ServiceId, TaskPosition,
     },
     serde::{Deserialize, Serialize},
     std::borrow::Cow,
@@ -56,7 +56,7 @@
         /// The job.
         job: JobId,
         /// The task.
-        task: StepTask,
+        task: TaskPosition,
         /// The agent to which the task was assigned.
         agent: AgentId,
         /// Number of the start; 0 where the task did not start.
@@ -139,7 +139,7 @@
         /// The job.
         job: JobId,
         /// The task.
-        task: StepTask,
+        task: TaskPosition,
         /// Number of the start.
         run: RunNumber,
         /// The entry that assigned the task.
@@ -156,7 +156,7 @@
         /// The job.
         job: JobId,
         /// The task.
-        task: StepTask,
+        task: TaskPosition,
         /// Number of the start.
         run: RunNumber,
         /// The endpoint's answer; `no-answer` where it did not answer.
@@ -167,7 +167,7 @@
         /// The job.
         job: JobId,
         /// The task.
-        task: StepTask,
+        task: TaskPosition,
         /// Number of the start.
         run: RunNumber,
         /// Why the task is stopped.
@@ -180,7 +180,7 @@
         /// The job.
         job: JobId,
         /// The task.
-        task: StepTask,
+        task: TaskPosition,
         /// Number of the start; 0 where the task did not start.
         run: RunNumber,
         /// How the task ended.
--- a/crates/types/src/endpoint_report.rs
+++ b/crates/types/src/endpoint_report.rs
@@ -2,7 +2,8 @@
 
 use {
     crate::{
-        AssignmentId, EndpointId, Incarnation, Label, Room, RunNumber, ServiceId, StepTask, ZoneId,
+        AssignmentId, EndpointId, Incarnation, Label, Room, RunNumber, ServiceId, TaskPosition,
+        ZoneId,
     },
     serde::{Deserialize, Serialize},
     std::time::Duration,
@@ -62,7 +63,7 @@
     /// The assignment that the task belongs to.
     pub assignment: AssignmentId,
     /// Position of the task in the job.
-    pub at: StepTask,
+    pub at: TaskPosition,
     /// Number of the start; 0 where the task did not start.
     pub run: RunNumber,
     /// How the task ended.
@@ -94,7 +95,7 @@
     /// The endpoint; none as long as earlier runs of it may still exist.
     pub info: Option<EndpointInfo>,
     /// Assigned tasks that wait or run.
-    pub live: Vec<(AssignmentId, StepTask)>,
+    pub live: Vec<(AssignmentId, TaskPosition)>,
     /// Recent ends of tasks, including those that were reported before.
     pub ends: Vec<TaskEnd>,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -24,7 +24,7 @@
 
 pub use {
     answer::{JobAnswer, JobStatus, TaskAnswer, TaskOutcome},
-    assignment::{AssignedTask, Assignment, Revocation, StepTask, TaskId},
+    assignment::{AssignedTask, Assignment, Revocation, TaskId, TaskPosition},
     best_effort_job::{BestEffortJob, BestEffortJobError, MAX_PAYLOAD_BYTES, MAX_STEP_TASKS},
     configuration::{Configuration, DrainState, RowRevisions},
     contract::{Contract, ContractBuilder, ContractError, Overflow},
