--- a/crates/decisions/src/guard/entry_side.rs
+++ b/crates/decisions/src/guard/entry_side.rs
@@ -10,8 +10,8 @@
         timing::millis,
     },
     chestnutrun_types::{
-        AgentUpdate, Assignment, DecisionNote, EndKind, EntryId, Incarnation, Resync, Revocation,
-        Room, TaskId, ZoneId,
+        AgentUpdate, Assignment, DecisionNote, EndKind, EntryId, Incarnation, Resources, Resync,
+        Revocation, TaskId, ZoneId,
     },
     std::time::Instant,
 };
@@ -219,7 +219,7 @@
     fn room(&self, now: Instant) -> RoomToTell {
         let Some(endpoint) = &self.endpoint else {
             return RoomToTell {
-                free: Room::default(),
+                free: Resources::default(),
                 most_tasks: 0,
                 slowness: 1.0,
             };
--- a/crates/decisions/src/guard/entry_state.rs
+++ b/crates/decisions/src/guard/entry_state.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::timing::{FAR_REPORT_INTERVAL, REPORT_INTERVAL},
-    chestnutrun_types::{AssignmentId, Incarnation, Room, TaskEnd, ZoneId},
+    chestnutrun_types::{AssignmentId, Incarnation, Resources, TaskEnd, ZoneId},
     std::{
         collections::VecDeque,
         time::{Duration, Instant},
@@ -16,7 +16,7 @@
 /// What an agent tells of its room.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RoomToTell {
-    pub(crate) free: Room,
+    pub(crate) free: Resources,
     pub(crate) most_tasks: u16,
     pub(crate) slowness: f32,
 }
--- a/crates/decisions/src/guard/runs.rs
+++ b/crates/decisions/src/guard/runs.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::guard::run::{Phase, Run, RunKey},
-    chestnutrun_types::{Room, RunNumber, TaskId},
+    chestnutrun_types::{Resources, RunNumber, TaskId},
     indexmap::IndexMap,
     std::time::Instant,
 };
@@ -91,12 +91,12 @@
     }
 
     /// Returns the room that tasks hold at the endpoint.
-    pub(crate) fn held(&self) -> Room {
+    pub(crate) fn held(&self) -> Resources {
         self.sum(Run::is_at_endpoint)
     }
 
     /// Returns the room of all tasks, those that wait among them.
-    pub(crate) fn claimed(&self) -> Room {
+    pub(crate) fn claimed(&self) -> Resources {
         self.sum(|_| true)
     }
 
@@ -107,8 +107,8 @@
             .any(|run| run.task == *task && run.key != *key && run.is_at_endpoint())
     }
 
-    fn sum(&self, holds: impl Fn(&Run) -> bool) -> Room {
+    fn sum(&self, holds: impl Fn(&Run) -> bool) -> Resources {
         let matching = self.by_key.values().filter(|run| holds(run));
-        matching.fold(Room::default(), |sum, run| sum.plus(run.assigned.need))
+        matching.fold(Resources::default(), |sum, run| sum.plus(run.assigned.need))
     }
 }
--- a/crates/decisions/src/guard/starts.rs
+++ b/crates/decisions/src/guard/starts.rs
@@ -8,7 +8,7 @@
         },
         timing::{ENTRY_PROOF_LIMIT, NO_ROOM_PAUSE, NUMBER_STEP, RUN_LEASE, START_TIMEOUT, millis},
     },
-    chestnutrun_types::{DecisionNote, EndKind, Incarnation, Room, RunNumber},
+    chestnutrun_types::{DecisionNote, EndKind, Incarnation, Resources, RunNumber},
     std::time::Instant,
 };
 
@@ -94,7 +94,12 @@
     }
 
     /// Returns what a waiting task needs, where it may start now.
-    pub(super) fn startable(&mut self, now: Instant, key: &RunKey, free: Room) -> Option<Room> {
+    pub(super) fn startable(
+        &mut self,
+        now: Instant,
+        key: &RunKey,
+        free: Resources,
+    ) -> Option<Resources> {
         let entry = self.entries.get(&key.entry)?;
         if !entry.is_proven(now, ENTRY_PROOF_LIMIT) {
             return None;
@@ -104,7 +109,7 @@
         (free.fits(need) && !self.runs.is_elsewhere(&task, key)).then_some(need)
     }
 
-    pub(super) fn start(&mut self, now: Instant, key: &RunKey, free: Room) {
+    pub(super) fn start(&mut self, now: Instant, key: &RunKey, free: Resources) {
         let number = self.next_run;
         self.next_run += 1;
         self.runs.number(key, number);
--- a/crates/decisions/src/placement/endpoint_view.rs
+++ b/crates/decisions/src/placement/endpoint_view.rs
@@ -1,7 +1,7 @@
 //! What an entry knows of one agent and its endpoint.
 
 use {
-    chestnutrun_types::{AgentUpdate, AssignmentId, EndpointInfo, Incarnation, Room},
+    chestnutrun_types::{AgentUpdate, AssignmentId, EndpointInfo, Incarnation, Resources},
     std::{
         collections::VecDeque,
         time::{Duration, Instant},
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Claim {
     assignment: AssignmentId,
-    room: Room,
+    room: Resources,
     tasks: u16,
 }
 
@@ -57,7 +57,7 @@
     }
 
     /// Notes an assignment that is on its way.
-    pub(crate) fn claim(&mut self, assignment: AssignmentId, room: Room, tasks: u16) {
+    pub(crate) fn claim(&mut self, assignment: AssignmentId, room: Resources, tasks: u16) {
         self.claims.push_back(Claim {
             assignment,
             room,
@@ -73,9 +73,9 @@
     }
 
     /// Returns the room that neither the agent nor this entry has given away.
-    pub(crate) fn free(&self) -> Room {
+    pub(crate) fn free(&self) -> Resources {
         let claimed = self.claims.iter().map(|claim| claim.room);
-        claimed.fold(self.told.free, Room::minus)
+        claimed.fold(self.told.free, Resources::minus)
     }
 
     /// Returns how many tasks the endpoint takes now.
--- a/crates/decisions/src/placement/places.rs
+++ b/crates/decisions/src/placement/places.rs
@@ -3,7 +3,7 @@
 use {
     crate::placement::{endpoint_view::EndpointView, held_job::HeldJob, held_task::HeldTask},
     chestnutrun_types::{
-        AgentId, EndpointInfo, JobId, Label, Room, StepSpec, TaskPosition, ZoneId,
+        AgentId, EndpointInfo, JobId, Label, Resources, StepSpec, TaskPosition, ZoneId,
     },
     indexmap::IndexMap,
     xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed},
@@ -29,14 +29,14 @@
 struct Candidate {
     agent: AgentId,
     info: EndpointInfo,
-    free: Room,
+    free: Resources,
     most_tasks: u16,
     slowness: f32,
     is_other_zone: bool,
     /// Cost of the present job there.
     cost: f32,
     /// What is left of half of the room that was free.
-    half: Room,
+    half: Resources,
 }
 
 /// The endpoints of all services with what room they have, while the tasks of
@@ -61,7 +61,7 @@
                 slowness: view.slowness(),
                 is_other_zone: info.zone != *zone,
                 cost: 0.0,
-                half: Room::default(),
+                half: Resources::default(),
             })
         });
         Self {
@@ -92,7 +92,7 @@
             let step = job.step(task.at.step);
             // Half of an endpoint's room is left to other entries, which do not
             // see this choice yet, unless the job finds none elsewhere.
-            let find = |least: fn(&Candidate) -> Room| {
+            let find = |least: fn(&Candidate) -> Resources| {
                 self.candidates.iter().position(|candidate| {
                     candidate.info.service == job.route.service
                         && least(candidate).fits(step.need)
--- a/crates/decisions/src/placement/placing.rs
+++ b/crates/decisions/src/placement/placing.rs
@@ -5,7 +5,7 @@
         placement::{CallerId, DispatchAction, Dispatcher, held_task::TaskState, places::Places},
         timing::millis,
     },
-    chestnutrun_types::{AgentId, AssignedTask, Assignment, DecisionNote, Room, TaskPosition},
+    chestnutrun_types::{AgentId, AssignedTask, Assignment, DecisionNote, Resources, TaskPosition},
     std::time::{Duration, Instant},
 };
 
@@ -71,7 +71,7 @@
         };
         self.next_assignment += 1;
         self.by_assignment.insert(id, caller);
-        let mut room = Room::default();
+        let mut room = Resources::default();
         let mut assigned = Vec::with_capacity(tasks.len());
         for at in tasks {
             let step = job.step(at.step);
--- a/crates/decisions/tests/best_effort_site/endpoint.rs
+++ b/crates/decisions/tests/best_effort_site/endpoint.rs
@@ -6,7 +6,7 @@
         Announcement, Answer, FencingToken, ListOrder, ListReply, ListedEnd, ListedRun, OrderFault,
         RunEnd, StartOrder, StopOrder,
     },
-    chestnutrun_types::{EndpointInfo, Room, TaskId},
+    chestnutrun_types::{EndpointInfo, Resources, TaskId},
     indexmap::IndexMap,
     std::time::Duration,
 };
@@ -89,7 +89,7 @@
                 service: "service".into(),
                 zone: "zone".into(),
                 labels: Vec::new(),
-                total: Room {
+                total: Resources {
                     cpu_millis: CPU,
                     memory_mb: 1_000,
                     accelerators: 0,
--- a/crates/decisions/tests/best_effort_site/site.rs
+++ b/crates/decisions/tests/best_effort_site/site.rs
@@ -11,7 +11,7 @@
         guard::{GuardConf, GuardInput, GuardMachine, GuardMessage},
         placement::{CallerId, DispatchAction, DispatchInput, Dispatcher, JobOutcome, Submission},
     },
-    chestnutrun_types::{BestEffortJob, EntryId, JobId, Now, Room, Route, StepSpec},
+    chestnutrun_types::{BestEffortJob, EntryId, JobId, Now, Resources, Route, StepSpec},
     indexmap::IndexMap,
     rand::{RngExt, SeedableRng, rngs::StdRng},
     std::{
@@ -190,7 +190,7 @@
         self.work.insert(id.clone(), work);
         let step = |tasks, after: Vec<u16>| StepSpec {
             tasks,
-            need: Room {
+            need: Resources {
                 cpu_millis: TASK_CPU,
                 memory_mb: 1,
                 accelerators: 0,
--- a/crates/decisions/tests/guard.rs
+++ b/crates/decisions/tests/guard.rs
@@ -6,7 +6,7 @@
         ListOrder, ListReply, ListedEnd, OrderFault, RunEnd, StartOrder,
     },
     chestnutrun_types::{
-        AssignedTask, Assignment, EndpointInfo, EntryId, Now, Revocation, Room, TaskPosition,
+        AssignedTask, Assignment, EndpointInfo, EntryId, Now, Resources, Revocation, TaskPosition,
     },
     rstest::rstest,
     std::time::{Duration, Instant, SystemTime},
@@ -23,7 +23,7 @@
             service: "service".into(),
             zone: "zone".into(),
             labels: Vec::new(),
-            total: Room {
+            total: Resources {
                 cpu_millis: 8_000,
                 memory_mb: 1_000,
                 accelerators: 0,
@@ -46,7 +46,7 @@
 fn assignment(id: u64, job: &str) -> Assignment {
     let task = AssignedTask {
         at: TaskPosition { step: 0, index: 0 },
-        need: Room {
+        need: Resources {
             cpu_millis: 1_000,
             memory_mb: 1,
             accelerators: 0,
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -5,8 +5,8 @@
         DispatchAction, DispatchInput, Dispatcher, JobOutcome, Submission,
     },
     chestnutrun_types::{
-        AgentUpdate, Assignment, BestEffortJob, EndKind, EndpointInfo, Now, Resync, Room, Route,
-        StepSpec, TaskEnd,
+        AgentUpdate, Assignment, BestEffortJob, EndKind, EndpointInfo, Now, Resources, Resync,
+        Route, StepSpec, TaskEnd,
     },
     rstest::{fixture, rstest},
     std::{
@@ -104,8 +104,8 @@
     }
 }
 
-fn room(tasks: u32) -> Room {
-    Room {
+fn room(tasks: u32) -> Resources {
+    Resources {
         cpu_millis: tasks * TASK_CPU,
         memory_mb: tasks * 10,
         accelerators: 0,
--- a/crates/types/src/assignment.rs
+++ b/crates/types/src/assignment.rs
@@ -1,7 +1,7 @@
 //! Assignments: tasks of one job that an entry gives to an agent.
 
 use {
-    crate::{AssignmentId, JobId, Room, RunNumber, StepIndex, TaskIndex},
+    crate::{AssignmentId, JobId, Resources, RunNumber, StepIndex, TaskIndex},
     serde::{Deserialize, Serialize},
     std::{fmt, sync::Arc, time::Duration},
 };
@@ -36,7 +36,7 @@
     /// Position of the task in the job.
     pub at: TaskPosition,
     /// Resources that the task needs.
-    pub need: Room,
+    pub need: Resources,
     /// Run time that the entry expects on a healthy endpoint.
     pub expected: Duration,
 }
--- a/crates/types/src/endpoint_report.rs
+++ b/crates/types/src/endpoint_report.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        AssignmentId, EndpointId, Incarnation, Label, Room, RunNumber, ServiceId, TaskPosition,
-        ZoneId,
+        AssignmentId, EndpointId, Incarnation, Label, Resources, RunNumber, ServiceId,
+        TaskPosition, ZoneId,
     },
     serde::{Deserialize, Serialize},
     std::time::Duration,
@@ -23,7 +23,7 @@
     /// Labels of the endpoint, such as its kind and its rack.
     pub labels: Vec<Label>,
     /// Resources of the endpoint, used and free.
-    pub total: Room,
+    pub total: Resources,
 }
 
 /// How an assigned task ended at an agent.
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct AgentUpdate {
     /// Resources of the endpoint that no running or waiting task needs.
-    pub free: Room,
+    pub free: Resources,
     /// Most tasks that the endpoint accepts beyond those it has.
     pub most_tasks: u16,
     /// Ratio of observed to expected run time of the endpoint's tasks.
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -16,7 +16,7 @@
 mod member;
 mod now;
 mod refusal;
-mod room;
+mod resources;
 mod routing;
 mod step;
 mod table;
@@ -41,7 +41,7 @@
     member::{Electorate, Member, MemberList, ShardOwner},
     now::Now,
     refusal::{Refusal, RefusalReason},
-    room::Room,
+    resources::Resources,
     routing::{Route, RoutingTable},
     step::StepSpec,
     table::{TableRow, TableSnapshot, TableWrite, Versioned, WriteResult},
--- a/crates/types/src/room.rs
+++ b/crates/types/src/resources.rs
@@ -4,7 +4,7 @@
 
 /// Resources of an endpoint, or those that a task needs.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Room {
+pub struct Resources {
     /// Processor, in thousandths of a core.
     pub cpu_millis: u32,
     /// Memory, in megabytes.
@@ -13,7 +13,7 @@
     pub accelerators: u32,
 }
 
-impl Room {
+impl Resources {
     /// Returns whether these resources are enough for `need`.
     #[must_use]
     pub fn fits(self, need: Self) -> bool {
--- a/crates/types/src/step.rs
+++ b/crates/types/src/step.rs
@@ -1,7 +1,7 @@
 //! Steps of a best-effort job.
 
 use {
-    crate::{Label, Room, StepIndex},
+    crate::{Label, Resources, StepIndex},
     serde::{Deserialize, Serialize},
     std::time::Duration,
 };
@@ -12,7 +12,7 @@
     /// Number of tasks.
     pub tasks: u16,
     /// Resources that each task needs.
-    pub need: Room,
+    pub need: Resources,
     /// Run time of a task as the caller estimates it; often wrong.
     pub estimate: Duration,
     /// Steps that must be complete before this one starts.
