--- a/crates/decisions/src/guard/endpoint_side.rs
+++ b/crates/decisions/src/guard/endpoint_side.rs
@@ -9,7 +9,7 @@
         },
         timing::NUMBER_STEP,
     },
-    chestnutrun_types::{DecisionNote, EndKind, EndpointId, EndpointInfo, Incarnation, RunNumber},
+    chestnutrun_types::{DecisionEvent, EndKind, EndpointId, EndpointInfo, Incarnation, RunNumber},
     std::time::Instant,
 };
 
@@ -180,7 +180,7 @@
     }
 
     pub(super) fn endpoint_news(&mut self, info: &EndpointInfo, news: &'static str) {
-        self.note(DecisionNote::EndpointNews {
+        self.note(DecisionEvent::EndpointNews {
             endpoint: info.endpoint.clone(),
             incarnation: info.incarnation,
             news: news.into(),
--- a/crates/decisions/src/guard/entry_side.rs
+++ b/crates/decisions/src/guard/entry_side.rs
@@ -10,7 +10,7 @@
         timing::millis,
     },
     chestnutrun_types::{
-        AgentUpdate, Assignment, DecisionNote, EndKind, EntryId, Incarnation, Resources, Resync,
+        AgentUpdate, Assignment, DecisionEvent, EndKind, EntryId, Incarnation, Resources, Resync,
         Revocation, TaskId, ZoneId,
     },
     std::time::Instant,
@@ -144,7 +144,7 @@
             && !keys.is_empty()
         {
             let proven_at = state.proven_at.unwrap_or(now);
-            let note = DecisionNote::EntryLost {
+            let note = DecisionEvent::EntryLost {
                 entry: entry.clone(),
                 tasks: keys.len(),
                 proof_age_ms: millis(now.saturating_duration_since(proven_at)),
@@ -162,7 +162,7 @@
             return;
         };
         let end = run.end(now, kind);
-        self.note(DecisionNote::TaskEnded {
+        self.note(DecisionEvent::TaskEnded {
             job: run.task.job.clone(),
             task: run.task.at,
             run: run.number,
--- a/crates/decisions/src/guard/guard_machine.rs
+++ b/crates/decisions/src/guard/guard_machine.rs
@@ -8,7 +8,7 @@
         },
         timing::ENTRY_PROOF_LIMIT,
     },
-    chestnutrun_types::{DecisionNote, EndKind, EntryId, Now, RunNumber},
+    chestnutrun_types::{DecisionEvent, EndKind, EntryId, Now, RunNumber},
     indexmap::IndexMap,
     std::time::Instant,
 };
@@ -148,7 +148,7 @@
         self.lapse(now);
     }
 
-    pub(super) fn note(&mut self, note: DecisionNote) {
+    pub(super) fn note(&mut self, note: DecisionEvent) {
         self.actions.push(GuardAction::Note(note));
     }
 
--- a/crates/decisions/src/guard/messages.rs
+++ b/crates/decisions/src/guard/messages.rs
@@ -3,7 +3,7 @@
 use {
     crate::guard::EndpointTime,
     chestnutrun_types::{
-        AgentUpdate, Assignment, DecisionNote, EndpointId, EndpointInfo, EntryId, Incarnation,
+        AgentUpdate, Assignment, DecisionEvent, EndpointId, EndpointInfo, EntryId, Incarnation,
         Resync, Revocation, RunNumber, TaskId, ZoneId,
     },
     std::{
@@ -235,5 +235,5 @@
     /// Renew the lease and list.
     List(ListOrder),
     /// Write down a decision.
-    Note(DecisionNote),
+    Note(DecisionEvent),
 }
--- a/crates/decisions/src/guard/starts.rs
+++ b/crates/decisions/src/guard/starts.rs
@@ -8,7 +8,7 @@
         },
         timing::{ENTRY_PROOF_LIMIT, NO_ROOM_PAUSE, NUMBER_STEP, RUN_LEASE, START_TIMEOUT, millis},
     },
-    chestnutrun_types::{DecisionNote, EndKind, Incarnation, Resources, RunNumber},
+    chestnutrun_types::{DecisionEvent, EndKind, Incarnation, Resources, RunNumber},
     std::time::Instant,
 };
 
@@ -128,7 +128,7 @@
             token: self.token,
             answer_by: now + START_TIMEOUT,
         }));
-        let note = DecisionNote::TaskStarted {
+        let note = DecisionEvent::TaskStarted {
             job: run.task.job.clone(),
             task: run.task.at,
             run: number,
@@ -142,7 +142,7 @@
 
     pub(super) fn note_refused_start(&mut self, key: &RunKey, reason: &'static str) {
         if let Some(run) = self.runs.get_mut(key) {
-            let note = DecisionNote::StartRefused {
+            let note = DecisionEvent::StartRefused {
                 job: run.task.job.clone(),
                 task: run.task.at,
                 run: run.number,
--- a/crates/decisions/src/guard/stops.rs
+++ b/crates/decisions/src/guard/stops.rs
@@ -8,7 +8,7 @@
         },
         timing::{BROKEN_PAUSE, NUMBER_STEP, REFUSED_PAUSE, STALL_LIMIT, START_TIMEOUT},
     },
-    chestnutrun_types::{DecisionNote, EndKind, Incarnation, RunNumber, TaskId},
+    chestnutrun_types::{DecisionEvent, EndKind, Incarnation, RunNumber, TaskId},
     std::time::Instant,
 };
 
@@ -58,7 +58,7 @@
             Phase::Starting | Phase::Running => {
                 run.phase = Phase::Stopping;
                 run.end_as = kind;
-                let note = DecisionNote::TaskStopped {
+                let note = DecisionEvent::TaskStopped {
                     job: run.task.job.clone(),
                     task: run.task.at,
                     run: run.number,
--- a/crates/decisions/src/placement/agents_side.rs
+++ b/crates/decisions/src/placement/agents_side.rs
@@ -9,7 +9,7 @@
         timing::{AGENT_SILENT_RUNS_END_AFTER, millis},
     },
     chestnutrun_types::{
-        AgentId, AgentUpdate, AssignmentId, DecisionNote, EndKind, EndpointInfo, Incarnation,
+        AgentId, AgentUpdate, AssignmentId, DecisionEvent, EndKind, EndpointInfo, Incarnation,
         Resync, Revocation, TaskEnd, TaskPosition,
     },
     std::time::Instant,
@@ -33,7 +33,7 @@
         if !is_same {
             self.agent_down(now, agent);
         }
-        self.note(DecisionNote::AgentLinked {
+        self.note(DecisionEvent::AgentLinked {
             agent: agent.clone(),
             incarnation,
             endpoint: resync.info.as_ref().map(|info| info.endpoint.clone()),
@@ -110,7 +110,7 @@
             }
         }
         if was_linked {
-            self.note(DecisionNote::AgentLost {
+            self.note(DecisionEvent::AgentLost {
                 agent: agent.clone(),
                 in_doubt,
             });
@@ -123,7 +123,7 @@
         };
         let is_new = info.is_some() && view.info.is_none();
         let known = info.as_ref();
-        let note = DecisionNote::EndpointChanged {
+        let note = DecisionEvent::EndpointChanged {
             agent: agent.clone(),
             endpoint: known.map(|info| info.endpoint.clone()),
             incarnation: known.map_or(0, |info| info.incarnation),
@@ -204,7 +204,7 @@
         let is_done = job.is_done();
         if end.kind != EndKind::Done {
             job.returned += 1;
-            let note = DecisionNote::TaskReturned {
+            let note = DecisionEvent::TaskReturned {
                 job: job.job.id.clone(),
                 task: end.at,
                 agent: agent.clone(),
--- a/crates/decisions/src/placement/dispatcher.rs
+++ b/crates/decisions/src/placement/dispatcher.rs
@@ -10,7 +10,7 @@
         timing::millis,
     },
     chestnutrun_types::{
-        AgentId, AssignmentId, DecisionNote, JobId, Now, Revocation, ServiceId, ZoneId,
+        AgentId, AssignmentId, DecisionEvent, JobId, Now, Revocation, ServiceId, ZoneId,
     },
     indexmap::IndexMap,
     std::time::{Duration, Instant},
@@ -114,7 +114,7 @@
 
         let caller = submission.caller;
         let held = HeldJob::new(now, submission, objective);
-        self.note(DecisionNote::JobTaken {
+        self.note(DecisionEvent::JobTaken {
             job: id,
             route: route.id.clone(),
             tasks: held.tasks.len(),
@@ -135,7 +135,7 @@
 
     pub(super) fn caller_gone(&mut self, now: Instant, caller: CallerId) {
         if let Some(job) = self.jobs.get(&caller) {
-            let note = DecisionNote::CallerGone {
+            let note = DecisionEvent::CallerGone {
                 job: job.job.id.clone(),
                 took_ms: millis(now.saturating_duration_since(job.came_at)),
             };
@@ -229,7 +229,7 @@
         self.drop_job(caller);
     }
 
-    pub(super) fn note(&mut self, note: DecisionNote) {
+    pub(super) fn note(&mut self, note: DecisionEvent) {
         self.actions.push(DispatchAction::Note(note));
     }
 
--- a/crates/decisions/src/placement/held_job.rs
+++ b/crates/decisions/src/placement/held_job.rs
@@ -10,7 +10,7 @@
         timing::millis,
     },
     chestnutrun_types::{
-        AgentId, AssignmentId, BestEffortJob, DecisionNote, Route, RunNumber, StepIndex, StepSpec,
+        AgentId, AssignmentId, BestEffortJob, DecisionEvent, Route, RunNumber, StepIndex, StepSpec,
         TaskPosition,
     },
     std::{rc::Rc, sync::Arc, time::Instant},
@@ -69,13 +69,13 @@
     }
 
     /// Returns what is written down when the caller has its answer.
-    pub(crate) fn answered(&self, now: Instant, outcome: JobOutcome) -> DecisionNote {
+    pub(crate) fn answered(&self, now: Instant, outcome: JobOutcome) -> DecisionEvent {
         let since = |at: Instant| millis(at.saturating_duration_since(self.came_at));
         let done = self
             .tasks
             .iter()
             .filter(|task| task.state == TaskState::Done);
-        DecisionNote::JobAnswered {
+        DecisionEvent::JobAnswered {
             job: self.job.id.clone(),
             route: self.route.id.clone(),
             outcome: outcome.name().into(),
--- a/crates/decisions/src/placement/messages.rs
+++ b/crates/decisions/src/placement/messages.rs
@@ -2,7 +2,7 @@
 
 use {
     chestnutrun_types::{
-        AgentId, AgentUpdate, Assignment, BestEffortJob, DecisionNote, EndpointInfo, Incarnation,
+        AgentId, AgentUpdate, Assignment, BestEffortJob, DecisionEvent, EndpointInfo, Incarnation,
         JobId, Resync, Revocation, Route,
     },
     std::{
@@ -103,5 +103,5 @@
     /// Have an agent drop or stop tasks.
     Revoke(AgentId, Revocation),
     /// Write down a decision.
-    Note(DecisionNote),
+    Note(DecisionEvent),
 }
--- a/crates/decisions/src/placement/placing.rs
+++ b/crates/decisions/src/placement/placing.rs
@@ -5,7 +5,9 @@
         placement::{CallerId, DispatchAction, Dispatcher, held_task::TaskState, places::Places},
         timing::millis,
     },
-    chestnutrun_types::{AgentId, AssignedTask, Assignment, DecisionNote, Resources, TaskPosition},
+    chestnutrun_types::{
+        AgentId, AssignedTask, Assignment, DecisionEvent, Resources, TaskPosition,
+    },
     std::time::{Duration, Instant},
 };
 
@@ -104,7 +106,7 @@
         let after_ms = millis(now.saturating_duration_since(job.came_at));
         let job_id = job.job.id.clone();
         if let Some(view) = self.views.get_mut(agent) {
-            let note = DecisionNote::TasksPlaced {
+            let note = DecisionEvent::TasksPlaced {
                 job: job_id,
                 agent: agent.clone(),
                 assignment: id,
--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -1,7 +1,7 @@
 //! Interface between the loops and the store of the site's shared state.
 
 use {
-    chestnutrun_types::{DecisionNote, Member, RoutingTable},
+    chestnutrun_types::{DecisionEvent, Member, RoutingTable},
     std::{fmt, future::Future, pin::Pin},
     tokio::sync::mpsc::Sender,
 };
@@ -19,7 +19,7 @@
     /// The directory became reachable (true) or unreachable (false).
     Reachable(bool),
     /// A decision record about an answer of the directory, for the log.
-    Note(DecisionNote),
+    Note(DecisionEvent),
 }
 
 /// Number of calls to the directory with the same name and outcome.
--- a/crates/dispatch/src/entry_loop.rs
+++ b/crates/dispatch/src/entry_loop.rs
@@ -16,7 +16,7 @@
     chestnutrun_net::{Link, LinkEvent, LinkId, LinkIds, LinkServerConf, PeerName, serve_links},
     chestnutrun_observe::as_u64,
     chestnutrun_protocol::{Hello, Message},
-    chestnutrun_types::{DecisionNote, Member, MemberList, Now, RoutingTable, ZoneId},
+    chestnutrun_types::{DecisionEvent, Member, MemberList, Now, RoutingTable, ZoneId},
     indexmap::IndexMap,
     std::{
         net::SocketAddr,
@@ -278,7 +278,7 @@
             }
             CallerEvent::RouteNotFound(host, path) => {
                 let routing_version = self.routing.version();
-                let note = DecisionNote::RouteNotFound {
+                let note = DecisionEvent::RouteNotFound {
                     host,
                     path,
                     routing_version,
--- a/crates/dispatch/src/recorder.rs
+++ b/crates/dispatch/src/recorder.rs
@@ -3,7 +3,7 @@
 use {
     crate::CallCount,
     chestnutrun_observe::{DecisionLog, DispatchMetrics},
-    chestnutrun_types::{DecisionNote, Now, RoutingVersion},
+    chestnutrun_types::{DecisionEvent, Now, RoutingVersion},
     std::{
         sync::Arc,
         time::{Duration, Instant},
@@ -37,7 +37,7 @@
     }
 
     /// Logs and counts a decision.
-    pub(crate) fn record(&mut self, now: Now, note: DecisionNote) {
+    pub(crate) fn record(&mut self, now: Now, note: DecisionEvent) {
         if let Some(metrics) = &mut self.metrics {
             metrics.count(&note);
         }
@@ -48,7 +48,7 @@
     /// number of jobs or tasks that it holds.
     pub(crate) fn record_process(&mut self, event: &'static str, held: usize) {
         let news = event.into();
-        self.record(Now::read(), DecisionNote::Process { news, held });
+        self.record(Now::read(), DecisionEvent::Process { news, held });
     }
 
     /// Records that a new routing table became the current one.
@@ -59,7 +59,7 @@
         source: &'static str,
     ) {
         let source = source.into();
-        let note = DecisionNote::RoutingInForce {
+        let note = DecisionEvent::RoutingInForce {
             version,
             replaced,
             source,
@@ -70,7 +70,7 @@
     /// Records that a dependency was lost or is available again.
     pub(crate) fn record_dependency(&mut self, name: &'static str, is_there: bool) {
         let name = name.into();
-        self.record(Now::read(), DecisionNote::Dependency { name, is_there });
+        self.record(Now::read(), DecisionEvent::Dependency { name, is_there });
     }
 
     /// Flushes the log if the last flush is `FLUSH_INTERVAL` ago.
--- a/crates/observe/src/decision_log.rs
+++ b/crates/observe/src/decision_log.rs
@@ -3,7 +3,7 @@
 
 use {
     crate::ProcessId,
-    chestnutrun_types::{DecisionNote, Now},
+    chestnutrun_types::{DecisionEvent, Now},
     rustix::event::{PollFd, PollFlags, Timespec, poll},
     serde::{Deserialize, Serialize},
     std::{
@@ -39,7 +39,7 @@
     pub sequence: u64,
     /// The decision.
     #[serde(flatten)]
-    pub note: DecisionNote,
+    pub note: DecisionEvent,
 }
 
 /// The log of one process.
@@ -77,7 +77,7 @@
     }
 
     /// Adds a line, unless that would be too many.
-    pub fn add(&mut self, now: Now, note: DecisionNote) {
+    pub fn add(&mut self, now: Now, note: DecisionEvent) {
         self.count_second(now);
         self.sequence += 1;
         let is_common = !note.is_remarkable();
@@ -125,11 +125,11 @@
         (self.lines, self.common_lines) = (0, 0);
         if self.left_out > 0 {
             let count = std::mem::take(&mut self.left_out);
-            self.push(now, DecisionNote::LinesLeftOut { count });
+            self.push(now, DecisionEvent::LinesLeftOut { count });
         }
     }
 
-    fn push(&mut self, now: Now, note: DecisionNote) {
+    fn push(&mut self, now: Now, note: DecisionEvent) {
         let line = LogLine {
             at_us: micros(now.wall),
             process: self.process.clone(),
--- a/crates/observe/src/dispatch_metrics.rs
+++ b/crates/observe/src/dispatch_metrics.rs
@@ -5,7 +5,7 @@
         MetricsError,
         exporter::{Exporter, seconds},
     },
-    chestnutrun_types::{DecisionNote, RouteId},
+    chestnutrun_types::{DecisionEvent, RouteId},
     indexmap::{IndexMap, IndexSet},
     opentelemetry::{
         KeyValue,
@@ -76,9 +76,9 @@
     }
 
     /// Counts a decision.
-    pub fn count(&mut self, note: &DecisionNote) {
+    pub fn count(&mut self, note: &DecisionEvent) {
         match note {
-            DecisionNote::JobAnswered {
+            DecisionEvent::JobAnswered {
                 route,
                 outcome,
                 took_ms,
@@ -94,19 +94,19 @@
                     self.waits.record(as_seconds(*wait), &[route]);
                 }
             }
-            DecisionNote::TaskEnded { how, ran_ms, .. } => {
+            DecisionEvent::TaskEnded { how, ran_ms, .. } => {
                 let how = KeyValue::new("how", how.name());
                 self.runs.add(1, std::slice::from_ref(&how));
                 self.run_times.record(as_seconds(*ran_ms), &[how]);
             }
-            DecisionNote::TaskStarted { waited_ms, .. } => {
+            DecisionEvent::TaskStarted { waited_ms, .. } => {
                 self.waits_at_agent.record(as_seconds(*waited_ms), &[]);
             }
-            DecisionNote::StartRefused { reason, .. } => {
+            DecisionEvent::StartRefused { reason, .. } => {
                 let reason = KeyValue::new("reason", reason.to_string());
                 self.refused_starts.add(1, &[reason]);
             }
-            DecisionNote::TaskStopped { reason, .. } => {
+            DecisionEvent::TaskStopped { reason, .. } => {
                 let reason = KeyValue::new("reason", reason.to_string());
                 self.stopped_runs.add(1, &[reason]);
             }
--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/story.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::LogLine,
-    chestnutrun_types::{AgentId, DecisionNote, EndKind, JobId},
+    chestnutrun_types::{AgentId, DecisionEvent, EndKind, JobId},
     indexmap::{IndexMap, IndexSet},
     std::time::Duration,
 };
@@ -36,7 +36,7 @@
     let mut summaries: Vec<JobSummary> = lines
         .iter()
         .filter_map(|line| match &line.note {
-            DecisionNote::JobAnswered {
+            DecisionEvent::JobAnswered {
                 job,
                 outcome,
                 took_ms,
@@ -47,7 +47,7 @@
                 outcome: outcome.to_string(),
                 took: Duration::from_millis(*took_ms),
             }),
-            DecisionNote::CallerGone { job, took_ms } => Some(JobSummary {
+            DecisionEvent::CallerGone { job, took_ms } => Some(JobSummary {
                 job: job.clone(),
                 at_us: line.at_us,
                 outcome: "caller-gone".to_owned(),
@@ -75,7 +75,7 @@
         of_job.sort_by_key(|line| line.at_us);
         let heard: IndexSet<&str> = of_job.iter().map(|line| &*line.process).collect();
         let placed = of_job.iter().filter_map(|line| match &line.note {
-            DecisionNote::TasksPlaced { agent, .. } => Some(agent),
+            DecisionEvent::TasksPlaced { agent, .. } => Some(agent),
             _ => None,
         });
         let missing: IndexSet<AgentId> = placed
@@ -121,7 +121,7 @@
     #[must_use]
     pub fn cause(&self) -> String {
         let answered = self.lines.iter().rev().find_map(|line| match &line.note {
-            DecisionNote::JobAnswered {
+            DecisionEvent::JobAnswered {
                 outcome,
                 placed_after_ms,
                 ..
@@ -148,12 +148,12 @@
     /// Says what happened to a job whose entry told no answer.
     fn unanswered(&self) -> String {
         let is_lost = self.lines.iter().any(|line| {
-            matches!(&line.note, DecisionNote::TaskStopped { reason, .. } if reason == "entry-lost")
+            matches!(&line.note, DecisionEvent::TaskStopped { reason, .. } if reason == "entry-lost")
         });
         let is_gone = self
             .lines
             .iter()
-            .any(|line| matches!(line.note, DecisionNote::CallerGone { .. }));
+            .any(|line| matches!(line.note, DecisionEvent::CallerGone { .. }));
         if is_gone {
             format!("the caller went away; {}", self.returns())
         } else if is_lost {
@@ -165,8 +165,8 @@
 
     fn has_trouble(&self) -> bool {
         self.lines.iter().any(|line| match &line.note {
-            DecisionNote::TaskReturned { .. } | DecisionNote::StartRefused { .. } => true,
-            DecisionNote::TaskEnded { how, .. } => *how != EndKind::Done,
+            DecisionEvent::TaskReturned { .. } | DecisionEvent::StartRefused { .. } => true,
+            DecisionEvent::TaskEnded { how, .. } => *how != EndKind::Done,
             _ => false,
         })
     }
@@ -176,13 +176,13 @@
         let mut counts: IndexMap<String, u32> = IndexMap::new();
         for line in &self.lines {
             let what = match &line.note {
-                DecisionNote::TaskReturned { agent, how, .. } => {
+                DecisionEvent::TaskReturned { agent, how, .. } => {
                     format!("{} at {agent}", how.name().replace('-', " "))
                 }
-                DecisionNote::StartRefused { reason, .. } => {
+                DecisionEvent::StartRefused { reason, .. } => {
                     format!("start {reason} at {}", line.process)
                 }
-                DecisionNote::TaskStopped { reason, .. } => {
+                DecisionEvent::TaskStopped { reason, .. } => {
                     format!("stopped ({reason}) at {}", line.process)
                 }
                 _ => continue,
@@ -200,7 +200,7 @@
 
     fn load(&self) -> String {
         let held = self.lines.iter().find_map(|line| match line.note {
-            DecisionNote::JobTaken { held, slack_ms, .. } => Some((held, slack_ms)),
+            DecisionEvent::JobTaken { held, slack_ms, .. } => Some((held, slack_ms)),
             _ => None,
         });
         match held {
@@ -214,7 +214,7 @@
     /// Names where a job that met no trouble spent its time.
     fn slowest_part(&self, wait_ms: u64) -> String {
         let runs = self.lines.iter().filter_map(|line| match line.note {
-            DecisionNote::TaskEnded { ran_ms, .. } => Some((ran_ms, &line.process)),
+            DecisionEvent::TaskEnded { ran_ms, .. } => Some((ran_ms, &line.process)),
             _ => None,
         });
         match runs.max_by_key(|(ran, _)| *ran) {
@@ -232,7 +232,7 @@
 fn left_out(lines: &[LogLine], heard: &IndexSet<&str>) -> IndexMap<String, u64> {
     let mut counts: IndexMap<String, u64> = IndexMap::new();
     for line in lines {
-        if let DecisionNote::LinesLeftOut { count } = line.note
+        if let DecisionEvent::LinesLeftOut { count } = line.note
             && heard.contains(&*line.process)
         {
             *counts.entry(line.process.to_string()).or_default() += count;
--- a/crates/observe/tests/logs_page.rs
+++ b/crates/observe/tests/logs_page.rs
@@ -2,7 +2,7 @@
 
 use {
     chestnutrun_observe::LogLine,
-    chestnutrun_types::{DecisionNote, EndKind, TaskPosition},
+    chestnutrun_types::{DecisionEvent, EndKind, TaskPosition},
     indexmap::{IndexMap, IndexSet},
     rstest::rstest,
     std::fs,
@@ -11,18 +11,18 @@
 const TASK: TaskPosition = TaskPosition { step: 0, index: 0 };
 
 /// One of each decision.
-fn one_of_each() -> Vec<DecisionNote> {
+fn one_of_each() -> Vec<DecisionEvent> {
     let mut all = of_entries();
     all.extend(of_agents());
     all.extend(of_both());
-    let names: IndexSet<&str> = all.iter().map(DecisionNote::name).collect();
+    let names: IndexSet<&str> = all.iter().map(DecisionEvent::name).collect();
     assert_eq!(names.len(), all.len(), "one of each");
     all
 }
 
-fn of_entries() -> Vec<DecisionNote> {
+fn of_entries() -> Vec<DecisionEvent> {
     vec![
-        DecisionNote::JobTaken {
+        DecisionEvent::JobTaken {
             job: "j".into(),
             route: "r".into(),
             tasks: 1,
@@ -31,7 +31,7 @@
             caller_waits_ms: 1,
             held: 1,
         },
-        DecisionNote::TasksPlaced {
+        DecisionEvent::TasksPlaced {
             job: "j".into(),
             agent: "a".into(),
             assignment: 1,
@@ -40,7 +40,7 @@
             free_cpu_millis: 1,
             report_age_ms: 1,
         },
-        DecisionNote::TaskReturned {
+        DecisionEvent::TaskReturned {
             job: "j".into(),
             task: TASK,
             agent: "a".into(),
@@ -48,7 +48,7 @@
             how: EndKind::Failed,
             ran_ms: 1,
         },
-        DecisionNote::JobAnswered {
+        DecisionEvent::JobAnswered {
             job: "j".into(),
             route: "r".into(),
             outcome: "completed".into(),
@@ -58,26 +58,26 @@
             at_agents: 0,
             returned: 0,
         },
-        DecisionNote::CallerGone {
+        DecisionEvent::CallerGone {
             job: "j".into(),
             took_ms: 1,
         },
-        DecisionNote::RouteNotFound {
+        DecisionEvent::RouteNotFound {
             host: "h".into(),
             path: "/p/".into(),
             routing_version: 2,
         },
-        DecisionNote::AgentLinked {
+        DecisionEvent::AgentLinked {
             agent: "a".into(),
             incarnation: 1,
             endpoint: Some("e".into()),
             live: 0,
         },
-        DecisionNote::AgentLost {
+        DecisionEvent::AgentLost {
             agent: "a".into(),
             in_doubt: 0,
         },
-        DecisionNote::EndpointChanged {
+        DecisionEvent::EndpointChanged {
             agent: "a".into(),
             endpoint: None,
             incarnation: 1,
@@ -87,9 +87,9 @@
     ]
 }
 
-fn of_agents() -> Vec<DecisionNote> {
+fn of_agents() -> Vec<DecisionEvent> {
     vec![
-        DecisionNote::TaskStarted {
+        DecisionEvent::TaskStarted {
             job: "j".into(),
             task: TASK,
             run: 1,
@@ -98,32 +98,32 @@
             waited_ms: 1,
             free_cpu_millis: 1,
         },
-        DecisionNote::StartRefused {
+        DecisionEvent::StartRefused {
             job: "j".into(),
             task: TASK,
             run: 1,
             reason: "no-room".into(),
         },
-        DecisionNote::TaskStopped {
+        DecisionEvent::TaskStopped {
             job: "j".into(),
             task: TASK,
             run: 1,
             reason: "no-answer".into(),
             percent: 0,
         },
-        DecisionNote::TaskEnded {
+        DecisionEvent::TaskEnded {
             job: "j".into(),
             task: TASK,
             run: 1,
             how: EndKind::Done,
             ran_ms: 1,
         },
-        DecisionNote::EndpointNews {
+        DecisionEvent::EndpointNews {
             endpoint: "e".into(),
             incarnation: 1,
             news: "usable".into(),
         },
-        DecisionNote::EntryLost {
+        DecisionEvent::EntryLost {
             entry: "e".into(),
             tasks: 0,
             proof_age_ms: 1,
@@ -131,14 +131,14 @@
     ]
 }
 
-fn of_both() -> Vec<DecisionNote> {
+fn of_both() -> Vec<DecisionEvent> {
     vec![
-        DecisionNote::RoutingInForce {
+        DecisionEvent::RoutingInForce {
             version: 2,
             replaced: 1,
             source: "peer".into(),
         },
-        DecisionNote::DirectoryAnswer {
+        DecisionEvent::DirectoryAnswer {
             call: "read".into(),
             outcome: "done".into(),
             after: None,
@@ -146,15 +146,15 @@
             row_revision: Some(5),
             routing_version: Some(2),
         },
-        DecisionNote::Dependency {
+        DecisionEvent::Dependency {
             name: "directory".into(),
             is_there: false,
         },
-        DecisionNote::Process {
+        DecisionEvent::Process {
             news: "started".into(),
             held: 0,
         },
-        DecisionNote::LinesLeftOut { count: 1 },
+        DecisionEvent::LinesLeftOut { count: 1 },
     ]
 }
 
@@ -187,7 +187,7 @@
     quoted.map(str::to_owned).collect()
 }
 
-fn fields(note: DecisionNote) -> IndexSet<String> {
+fn fields(note: DecisionEvent) -> IndexSet<String> {
     let line = LogLine {
         at_us: 1,
         process: "p".into(),
--- a/crates/types/src/decision_note.rs
+++ b/crates/types/src/decision_event.rs
@@ -16,7 +16,7 @@
 /// thousandths of a core.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
-pub enum DecisionNote {
+pub enum DecisionEvent {
     /// An entry accepted a job.
     JobTaken {
         /// The job.
@@ -254,7 +254,7 @@
     },
 }
 
-impl DecisionNote {
+impl DecisionEvent {
     /// Returns the job that the event refers to; none where there is none.
     #[must_use]
     pub fn job(&self) -> Option<&JobId> {
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -8,7 +8,7 @@
 mod best_effort_job;
 mod configuration;
 mod contract;
-mod decision_note;
+mod decision_event;
 mod endpoint_report;
 mod exchange;
 mod ids;
@@ -28,7 +28,7 @@
     best_effort_job::{BestEffortJob, BestEffortJobError, MAX_PAYLOAD_BYTES, MAX_STEP_TASKS},
     configuration::{Configuration, DrainState, RowRevisions},
     contract::{Contract, ContractBuilder, ContractError, Overflow},
-    decision_note::DecisionNote,
+    decision_event::DecisionEvent,
     endpoint_report::{AgentUpdate, EndKind, EndpointInfo, Resync, TaskEnd},
     exchange::{
         Acknowledgement, AgentHello, Confirm, Confirmation, Fence, FenceReply, Finished, JobReply,
