--- a/crates/decisions/src/placement/dispatcher.rs
+++ b/crates/decisions/src/placement/dispatcher.rs
@@ -135,7 +135,7 @@
 
     pub(super) fn caller_gone(&mut self, now: Instant, caller: CallerId) {
         if let Some(job) = self.jobs.get(&caller) {
-            let note = DecisionEvent::CallerGone {
+            let note = DecisionEvent::CallerDisconnected {
                 job: job.job.id.clone(),
                 took_ms: millis(now.saturating_duration_since(job.came_at)),
             };
--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/story.rs
@@ -47,7 +47,7 @@
                 outcome: outcome.to_string(),
                 took: Duration::from_millis(*took_ms),
             }),
-            DecisionEvent::CallerGone { job, took_ms } => Some(JobSummary {
+            DecisionEvent::CallerDisconnected { job, took_ms } => Some(JobSummary {
                 job: job.clone(),
                 at_us: line.at_us,
                 outcome: "caller-gone".to_owned(),
@@ -153,7 +153,7 @@
         let is_gone = self
             .lines
             .iter()
-            .any(|line| matches!(line.note, DecisionEvent::CallerGone { .. }));
+            .any(|line| matches!(line.note, DecisionEvent::CallerDisconnected { .. }));
         if is_gone {
             format!("the caller went away; {}", self.returns())
         } else if is_lost {
--- a/crates/observe/tests/logs_page.rs
+++ b/crates/observe/tests/logs_page.rs
@@ -58,7 +58,7 @@
             at_agents: 0,
             returned: 0,
         },
-        DecisionEvent::CallerGone {
+        DecisionEvent::CallerDisconnected {
             job: "j".into(),
             took_ms: 1,
         },
--- a/crates/types/src/decision_event.rs
+++ b/crates/types/src/decision_event.rs
@@ -96,7 +96,8 @@
         routing_version: RoutingVersion,
     },
     /// An entry dropped a job because its caller disconnected.
-    CallerGone {
+    #[serde(rename = "caller-gone")]
+    CallerDisconnected {
         /// The job.
         job: JobId,
         /// Time since the entry accepted the job.
@@ -263,7 +264,7 @@
             | Self::TasksPlaced { job, .. }
             | Self::TaskReturned { job, .. }
             | Self::JobAnswered { job, .. }
-            | Self::CallerGone { job, .. }
+            | Self::CallerDisconnected { job, .. }
             | Self::TaskStarted { job, .. }
             | Self::StartRefused { job, .. }
             | Self::TaskStopped { job, .. }
@@ -281,7 +282,7 @@
             Self::TaskReturned { .. } => "task-returned",
             Self::JobAnswered { .. } => "job-answered",
             Self::RouteNotFound { .. } => "route-not-found",
-            Self::CallerGone { .. } => "caller-gone",
+            Self::CallerDisconnected { .. } => "caller-gone",
             Self::AgentLinked { .. } => "agent-linked",
             Self::AgentLost { .. } => "agent-lost",
             Self::EndpointChanged { .. } => "endpoint-changed",
