--- a/crates/decisions/src/guard/endpoint_side.rs
+++ b/crates/decisions/src/guard/endpoint_side.rs
@@ -180,7 +180,7 @@
     }
 
     pub(super) fn endpoint_news(&mut self, info: &EndpointInfo, news: &'static str) {
-        self.note(DecisionEvent::EndpointNews {
+        self.note(DecisionEvent::EndpointLifecycle {
             endpoint: info.endpoint.clone(),
             incarnation: info.incarnation,
             news: news.into(),
--- a/crates/observe/tests/logs_page.rs
+++ b/crates/observe/tests/logs_page.rs
@@ -118,7 +118,7 @@
             how: EndKind::Done,
             ran_ms: 1,
         },
-        DecisionEvent::EndpointNews {
+        DecisionEvent::EndpointLifecycle {
             endpoint: "e".into(),
             incarnation: 1,
             news: "usable".into(),
--- a/crates/types/src/decision_event.rs
+++ b/crates/types/src/decision_event.rs
@@ -190,7 +190,8 @@
         ran_ms: u64,
     },
     /// An agent learned that its endpoint started, leaves or is lost.
-    EndpointNews {
+    #[serde(rename = "endpoint-news")]
+    EndpointLifecycle {
         /// The endpoint.
         endpoint: EndpointId,
         /// Number of the endpoint's run.
@@ -290,7 +291,7 @@
             Self::StartRefused { .. } => "start-refused",
             Self::TaskStopped { .. } => "task-stopped",
             Self::TaskEnded { .. } => "task-ended",
-            Self::EndpointNews { .. } => "endpoint-news",
+            Self::EndpointLifecycle { .. } => "endpoint-news",
             Self::EntryLost { .. } => "entry-lost",
             Self::RoutingInForce { .. } => "routing-in-force",
             Self::DirectoryAnswer { .. } => "directory-answer",
