--- a/crates/decisions/src/membership/membership_machine.rs
+++ b/crates/decisions/src/membership/membership_machine.rs
@@ -278,7 +278,7 @@
         if let Some(row) = row.filter(|row| row.value == self.conf.me) {
             let expected = row.revision;
             self.write(TableWrite {
-                row: TableRow::MemberGone(entry),
+                row: TableRow::MemberRemoval(entry),
                 expected,
             });
         }
--- a/crates/decisions/tests/entry_regressions.rs
+++ b/crates/decisions/tests/entry_regressions.rs
@@ -141,7 +141,7 @@
     });
     read(&mut machine, snapshot_with_me());
     let removal = TableWrite {
-        row: TableRow::MemberGone(me().entry),
+        row: TableRow::MemberRemoval(me().entry),
         expected: 1,
     };
     let leave = machine.handle(Now::read(), MembershipInput::Leave);
--- a/crates/decisions/tests/fake_site/table.rs
+++ b/crates/decisions/tests/fake_site/table.rs
@@ -33,7 +33,7 @@
                 let row = Versioned { value, revision };
                 self.rows.members.insert(row.value.entry.clone(), row);
             }
-            TableRow::MemberGone(entry) => {
+            TableRow::MemberRemoval(entry) => {
                 self.rows.members.shift_remove(&entry);
             }
             TableRow::Owner(value) => {
@@ -57,7 +57,7 @@
         let rows = &self.rows;
         match row {
             TableRow::Member(member) => rows.members.get(&member.entry).map(|r| r.revision),
-            TableRow::MemberGone(entry) => rows.members.get(entry).map(|r| r.revision),
+            TableRow::MemberRemoval(entry) => rows.members.get(entry).map(|r| r.revision),
             TableRow::Owner(owner) => rows.owners.get(&owner.shard).map(|r| r.revision),
             TableRow::Contract(_) | TableRow::Drain(..) => None,
         }
--- a/crates/table/src/rows.rs
+++ b/crates/table/src/rows.rs
@@ -20,7 +20,7 @@
 pub(crate) fn key(row: &TableRow) -> String {
     match row {
         TableRow::Member(member) => format!("{MEMBER}{}", member.entry),
-        TableRow::MemberGone(entry) => format!("{MEMBER}{entry}"),
+        TableRow::MemberRemoval(entry) => format!("{MEMBER}{entry}"),
         TableRow::Owner(owner) => format!("{OWNER}{}", owner.shard),
         TableRow::Contract(contract) => format!("{CONTRACT}{}", contract.id),
         TableRow::Drain(endpoint, _) => format!("{DRAIN}{endpoint}"),
@@ -36,7 +36,7 @@
 pub(crate) fn write(row: &TableRow) -> Result<Write, TableError> {
     let value = match row {
         TableRow::Member(member) => Some(to_value(member)?),
-        TableRow::MemberGone(_) => None,
+        TableRow::MemberRemoval(_) => None,
         TableRow::Owner(owner) => Some(to_value(owner)?),
         TableRow::Contract(contract) => Some(to_value(contract)?),
         TableRow::Drain(_, state) => Some(to_value(state)?),
--- a/crates/types/src/configuration.rs
+++ b/crates/types/src/configuration.rs
@@ -65,7 +65,7 @@
                 configuration.rows.drains.insert(endpoint.clone(), revision);
                 configuration.drains.insert(endpoint, state);
             }
-            TableRow::Member(_) | TableRow::MemberGone(_) | TableRow::Owner(_) => {}
+            TableRow::Member(_) | TableRow::MemberRemoval(_) | TableRow::Owner(_) => {}
         }
         configuration
     }
--- a/crates/types/src/table.rs
+++ b/crates/types/src/table.rs
@@ -36,7 +36,7 @@
     /// Registers an entry.
     Member(Member),
     /// Removes an entry's row.
-    MemberGone(EntryId),
+    MemberRemoval(EntryId),
     /// Records the owner of a shard.
     Owner(ShardOwner),
     /// Creates or changes a contract.
