--- a/crates/entry/src/operators/changes.rs
+++ b/crates/entry/src/operators/changes.rs
@@ -8,7 +8,7 @@
         request_body::read_body,
     },
     chestnutrun_settings::RequestLimits,
-    chestnutrun_table::{Change, ChangeResult, Present},
+    chestnutrun_table::{Change, ChangeResult, CurrentRow},
     chestnutrun_types::{Contract, DrainState, Revision, TableRow, TableWrite},
     ntex::{
         http::{StatusCode, header},
@@ -134,7 +134,7 @@
     }
 }
 
-fn conflict(present: Present) -> Problem {
+fn conflict(present: CurrentRow) -> Problem {
     let detail = "If-Match does not name the present revision; nothing was written";
     let mut problem = Problem::new(StatusCode::CONFLICT, "conflict", detail)
         .with("present_revision", present.revision);
--- a/crates/table/src/change.rs
+++ b/crates/table/src/change.rs
@@ -21,7 +21,7 @@
 
 /// The current row, where it does not have the revision that a change expected.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Present {
+pub struct CurrentRow {
     /// Revision of the row; 0 where the row does not exist.
     pub revision: Revision,
     /// The current contract; none where it does not exist or the change was of a
@@ -38,7 +38,7 @@
     /// The change was written, at this revision.
     Accepted(Revision),
     /// Nothing was written, since the row had another revision.
-    Conflict(Present),
+    Conflict(CurrentRow),
     /// The table did not answer, so the change may have taken effect or not.
     Unknown,
 }
--- a/crates/table/src/http_configuration.rs
+++ b/crates/table/src/http_configuration.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        Answer, Change, ChangeResult, Condition, ConfigurationStore, HistoryEntry, HttpTable,
-        Present, RowReply, TableError, Transaction, Write,
+        Answer, Change, ChangeResult, Condition, ConfigurationStore, CurrentRow, HistoryEntry,
+        HttpTable, RowReply, TableError, Transaction, Write,
         http_table::{TransactionOutcome, read_rows, transact},
         rows,
     },
@@ -151,10 +151,10 @@
     }
 }
 
-fn current_row(change: &Change, row: RowReply) -> Result<Present, TableError> {
-    let mut current = Present {
+fn current_row(change: &Change, row: RowReply) -> Result<CurrentRow, TableError> {
+    let mut current = CurrentRow {
         revision: row.revision,
-        ..Present::default()
+        ..CurrentRow::default()
     };
     if row.revision > 0 {
         match change.write.row {
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -11,7 +11,7 @@
 mod wire;
 
 pub use {
-    change::{Change, ChangeResult, HistoryEntry, Present},
+    change::{Change, ChangeResult, CurrentRow, HistoryEntry},
     configuration_store::ConfigurationStore,
     errors::TableError,
     http_table::HttpTable,
