--- a/crates/table/src/configuration_store.rs
+++ b/crates/table/src/configuration_store.rs
@@ -1,7 +1,7 @@
 //! Interface through which operators' requests change the platform's table.
 
 use {
-    crate::{Answer, Change, ChangeResult, HistoryEntry, TableError},
+    crate::{Change, ChangeResult, HistoryEntry, TableError, TableFuture},
     chestnutrun_types::ContractId,
     std::fmt,
 };
@@ -9,8 +9,8 @@
 /// Access to the rows of the platform's table that operators change.
 pub trait ConfigurationStore: fmt::Debug {
     /// Writes a change; a change of a contract is also added to its history.
-    fn change(&self, change: Change) -> Answer<ChangeResult>;
+    fn change(&self, change: Change) -> TableFuture<ChangeResult>;
 
     /// Reads a contract's history, oldest change first.
-    fn history(&self, contract: ContractId) -> Answer<Result<Vec<HistoryEntry>, TableError>>;
+    fn history(&self, contract: ContractId) -> TableFuture<Result<Vec<HistoryEntry>, TableError>>;
 }
--- a/crates/table/src/http_configuration.rs
+++ b/crates/table/src/http_configuration.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        Answer, Change, ChangeResult, Condition, ConfigurationStore, CurrentRow, HistoryEntry,
-        HttpTable, RowReply, TableError, Transaction, Write,
+        Change, ChangeResult, Condition, ConfigurationStore, CurrentRow, HistoryEntry, HttpTable,
+        RowReply, TableError, TableFuture, Transaction, Write,
         http_table::{TransactionOutcome, read_rows, transact},
         rows,
     },
@@ -27,7 +27,7 @@
 }
 
 impl ConfigurationStore for HttpTable {
-    fn change(&self, change: Change) -> Answer<ChangeResult> {
+    fn change(&self, change: Change) -> TableFuture<ChangeResult> {
         let (client, address) = (self.client(), self.address());
         Box::pin(async move {
             match try_change(&client, address, &change).await {
@@ -40,7 +40,7 @@
         })
     }
 
-    fn history(&self, contract: ContractId) -> Answer<Result<Vec<HistoryEntry>, TableError>> {
+    fn history(&self, contract: ContractId) -> TableFuture<Result<Vec<HistoryEntry>, TableError>> {
         let (client, address) = (self.client(), self.address());
         Box::pin(async move {
             let history = read_history(&client, address, &contract).await?;
--- a/crates/table/src/http_table.rs
+++ b/crates/table/src/http_table.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        Answer, Condition, ConflictReply, RowReply, RowsReply, Table, TableError, Transaction,
+        Condition, ConflictReply, RowReply, RowsReply, Table, TableError, TableFuture, Transaction,
         TransactionReply, rows,
     },
     chestnutrun_types::{Revision, TableSnapshot, TableWrite, WriteResult},
@@ -48,12 +48,12 @@
 }
 
 impl Table for HttpTable {
-    fn read(&self) -> Answer<Result<TableSnapshot, TableError>> {
+    fn read(&self) -> TableFuture<Result<TableSnapshot, TableError>> {
         let (client, address) = (self.client(), self.address());
         Box::pin(async move { rows::snapshot(read_rows(&client, address, rows::SITE).await?) })
     }
 
-    fn write(&self, write: TableWrite, operation: String) -> Answer<WriteResult> {
+    fn write(&self, write: TableWrite, operation: String) -> TableFuture<WriteResult> {
         let (client, address) = (self.client(), self.address());
         Box::pin(async move {
             match try_write(&client, address, &write, operation).await {
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -15,6 +15,6 @@
     configuration_store::ConfigurationStore,
     errors::TableError,
     http_table::HttpTable,
-    table::{Answer, Table},
+    table::{Table, TableFuture},
     wire::{Condition, ConflictReply, RowReply, RowsReply, Transaction, TransactionReply, Write},
 };
--- a/crates/table/src/table.rs
+++ b/crates/table/src/table.rs
@@ -7,14 +7,14 @@
 };
 
 /// An answer of the table that arrives later, on the loop of the process.
-pub type Answer<T> = Pin<Box<dyn Future<Output = T>>>;
+pub type TableFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// Access to the dispatcher's rows in the platform's table.
 pub trait Table: fmt::Debug {
     /// Reads all rows of the dispatcher.
-    fn read(&self) -> Answer<Result<TableSnapshot, TableError>>;
+    fn read(&self) -> TableFuture<Result<TableSnapshot, TableError>>;
 
     /// Writes a row if it has the expected revision. A repetition with the same
     /// `operation` id has no further effect.
-    fn write(&self, write: TableWrite, operation: String) -> Answer<WriteResult>;
+    fn write(&self, write: TableWrite, operation: String) -> TableFuture<WriteResult>;
 }
