--- a/crates/decisions/src/guard/entry_side.rs
+++ b/crates/decisions/src/guard/entry_side.rs
@@ -199,7 +199,7 @@
                 free: room.free,
                 most_tasks: room.most_tasks,
                 slowness: room.slowness,
-                seen: state.seen,
+                last_assignment: state.seen,
                 ends: std::mem::take(&mut state.news),
             };
             let message = GuardMessage::Update(update);
--- a/crates/decisions/src/placement/endpoint_view.rs
+++ b/crates/decisions/src/placement/endpoint_view.rs
@@ -46,7 +46,7 @@
         while self
             .claims
             .front()
-            .is_some_and(|claim| claim.assignment <= update.seen)
+            .is_some_and(|claim| claim.assignment <= update.last_assignment)
         {
             self.claims.pop_front();
         }
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -97,7 +97,7 @@
             free: room(free),
             most_tasks: u16::MAX,
             slowness: 1.0,
-            seen: u64::MAX,
+            last_assignment: u64::MAX,
             ends,
         };
         self.at(after, DispatchInput::Update(AGENT.into(), update))
--- a/crates/types/src/endpoint_report.rs
+++ b/crates/types/src/endpoint_report.rs
@@ -83,7 +83,8 @@
     /// Ratio of observed to expected run time of the endpoint's tasks.
     pub slowness: f32,
     /// Newest assignment of this entry that `free` takes into account.
-    pub seen: AssignmentId,
+    #[serde(rename = "seen")]
+    pub last_assignment: AssignmentId,
     /// Tasks of this entry that ended.
     pub ends: Vec<TaskEnd>,
 }
