--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -196,7 +196,7 @@
             LinkEvent::Up(link, _) => self.links.up(link),
             LinkEvent::Message(id, message) => self.message(id, message),
             // Leases of ownerships are confirmed by messages of their own.
-            LinkEvent::Proven(..) => {}
+            LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => {
                 if let Some(entry) = self.links.down(id) {
                     self.timeline.process(
--- a/crates/dispatch/src/agent_loop.rs
+++ b/crates/dispatch/src/agent_loop.rs
@@ -273,7 +273,7 @@
                 self.send(id, Message::RoutingVersion(self.routing.version()));
             }
             LinkEvent::Message(id, message) => self.handle_message(id, message),
-            LinkEvent::Proven(id, at) => {
+            LinkEvent::PeerAlive(id, at) => {
                 if let Some(entry) = self.entry_of_link(id) {
                     self.handle_input(GuardInput::Proven(entry, at));
                 }
--- a/crates/dispatch/src/entry_loop.rs
+++ b/crates/dispatch/src/entry_loop.rs
@@ -339,7 +339,7 @@
         match event {
             LinkEvent::Up(link, peer) => self.handle_link_up(link, peer),
             LinkEvent::Message(id, message) => self.handle_message(id, message),
-            LinkEvent::Proven(..) => {}
+            LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => {
                 self.routing_sync.remove_peer(id);
                 if let Some(agent) = self.peers.remove(id) {
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -20,7 +20,7 @@
             LinkEvent::Up(link, peer) => self.link_up(link, peer),
             LinkEvent::Message(id, message) => self.message(id, message),
             // Ownerships are confirmed by messages of their own.
-            LinkEvent::Proven(..) => {}
+            LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => self.link_down(id),
         }
     }
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -87,7 +87,7 @@
     Message(LinkId, Message),
     /// The peer answered a probe that was sent at this moment, so it was alive
     /// then or later.
-    Proven(LinkId, Instant),
+    PeerAlive(LinkId, Instant),
     /// The link closed.
     Down(LinkId),
 }
@@ -193,7 +193,7 @@
         let event = match read_frame(&mut stream, timing.silence_limit).await {
             Ok(Received::Message(message)) => LinkEvent::Message(id, message),
             Ok(Received::Pong(buf)) => match probes.sent_at(&buf) {
-                Some(at) => LinkEvent::Proven(id, at),
+                Some(at) => LinkEvent::PeerAlive(id, at),
                 None => continue,
             },
             Err(error) => return error,
