--- a/crates/entry/src/daemon/entry_daemon.rs
+++ b/crates/entry/src/daemon/entry_daemon.rs
@@ -175,7 +175,7 @@
             Event::Changed(row, revision) => {
                 // Before the first read one row is no configuration.
                 if self.configuration.is_some() {
-                    self.configured(&Configuration::of_row(row, revision));
+                    self.configured(&Configuration::from_row(row, revision));
                 }
             }
             Event::TableWritten(write, result) => {
--- a/crates/types/src/configuration.rs
+++ b/crates/types/src/configuration.rs
@@ -46,7 +46,7 @@
     /// Creates a configuration that holds only the row of one accepted write; it
     /// holds no row where the written row is neither a contract nor a drain.
     #[must_use]
-    pub fn of_row(row: TableRow, revision: Revision) -> Self {
+    pub fn from_row(row: TableRow, revision: Revision) -> Self {
         let mut configuration = Self {
             revision,
             ..Self::default()
--- a/crates/types/tests/configuration.rs
+++ b/crates/types/tests/configuration.rs
@@ -7,7 +7,7 @@
 };
 
 fn drain(endpoint: &str, state: DrainState, revision: u64) -> Configuration {
-    Configuration::of_row(TableRow::Drain(endpoint.into(), state), revision)
+    Configuration::from_row(TableRow::Drain(endpoint.into(), state), revision)
 }
 
 #[rstest]
