--- a/crates/entry/src/listener.rs
+++ b/crates/entry/src/listener.rs
@@ -38,7 +38,7 @@
     {
         let conf = ServeConf {
             cfg: http_config(self.name, self.limits),
-            faults: fault_response,
+            fault_response,
             tls: self.tls,
         };
         serve_http_with(self.socket, app, conf).await;
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -50,7 +50,7 @@
 {
     let conf = ServeConf {
         cfg,
-        faults: plain_fault,
+        fault_response: plain_fault,
         tls: None,
     };
     serve_http_with(listener, app, conf).await;
@@ -62,7 +62,7 @@
     /// Configuration of the listener, from [`http_config`].
     pub cfg: SharedCfg,
     /// Creates the responses to requests that do not reach the application.
-    pub faults: FaultResponse,
+    pub fault_response: FaultResponse,
     /// Configuration of TLS; none serves plain HTTP.
     pub tls: Option<Arc<ServerConfig>>,
 }
@@ -75,12 +75,16 @@
         + 'static,
     E: ErrorContainer + 'static,
 {
-    let ServeConf { cfg, faults, tls } = conf;
+    let ServeConf {
+        cfg,
+        fault_response,
+        tls,
+    } = conf;
     let app = app.into_factory();
     match tls {
-        None => accept(listener, http_service(app, faults), cfg).await,
+        None => accept(listener, http_service(app, fault_response), cfg).await,
         Some(tls) => {
-            let http = http_service(app, faults).map_err(|e| format!("{e:?}"));
+            let http = http_service(app, fault_response).map_err(|e| format!("{e:?}"));
             let acceptor = TlsAcceptor::new(tls).map_err(|e: io::Error| e.to_string());
             accept(listener, acceptor.and_then(http), cfg).await;
         }
@@ -89,7 +93,7 @@
 
 fn http_service<F, S, E>(
     app: S,
-    faults: FaultResponse,
+    fault_response: FaultResponse,
 ) -> impl ServiceFactory<Io<F>, SharedCfg, Response = (), Error = DispatchError, InitError = ()>
 where
     F: Filter,
@@ -98,7 +102,7 @@
     E: ErrorContainer + 'static,
 {
     let on_control = move |message: Control<F, E>| async move {
-        Ok::<_, io::Error>(answer_control(message, faults))
+        Ok::<_, io::Error>(answer_control(message, fault_response))
     };
     HttpService::new(app).h1_control(fn_service(on_control))
 }
--- a/crates/net/src/request_fault.rs
+++ b/crates/net/src/request_fault.rs
@@ -28,11 +28,11 @@
 /// the application gets the response of its fault.
 pub(crate) fn answer_control<F: Filter, E: ErrorContainer>(
     message: Control<F, E>,
-    faults: FaultResponse,
+    fault_response: FaultResponse,
 ) -> ControlAck<F> {
     match message {
         Control::Disconnect(Reason::ProtocolError(error)) => match request_fault(error.err()) {
-            Some(fault) => error.fail_with(faults(fault)),
+            Some(fault) => error.fail_with(fault_response(fault)),
             None => error.ack(),
         },
         message => message.ack(),
