--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -56,7 +56,7 @@
     serve_http_with(listener, app, conf).await;
 }
 
-/// Settings with which [`serve_http_with`] serves an application.
+/// Settings of [`serve_http_with`].
 #[derive(Clone, Debug)]
 pub struct ServeConf {
     /// Configuration of the listener, from [`http_config`].
--- a/crates/table/src/table.rs
+++ b/crates/table/src/table.rs
@@ -6,7 +6,7 @@
     std::{fmt, future::Future, pin::Pin},
 };
 
-/// An answer of the table that arrives later, on the loop of the process.
+/// Future of a call to the table, which runs on the loop of the process.
 pub type TableFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// Access to the dispatcher's rows in the platform's table.
--- a/crates/types/src/answer.rs
+++ b/crates/types/src/answer.rs
@@ -5,7 +5,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// How one task ended.
+/// Outcome of one task, as its caller learns it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskOutcome {
--- a/crates/types/src/configuration.rs
+++ b/crates/types/src/configuration.rs
@@ -8,7 +8,7 @@
     std::hash::Hash,
 };
 
-/// Whether an endpoint may get new work.
+/// Drain state of an endpoint, which decides whether it gets new work.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainState {
--- a/crates/types/src/resources.rs
+++ b/crates/types/src/resources.rs
@@ -56,7 +56,8 @@
     /// Returns how many tasks that need `need` each fit, at most `most`.
     #[must_use]
     pub fn count(self, need: Self, most: u16) -> u16 {
-        let per_resource = |room: u32, need: u32| room.checked_div(need).unwrap_or(u32::MAX);
+        let per_resource =
+            |available: u32, need: u32| available.checked_div(need).unwrap_or(u32::MAX);
         let count = per_resource(self.cpu_millis, need.cpu_millis)
             .min(per_resource(self.memory_mb, need.memory_mb))
             .min(per_resource(self.accelerators, need.accelerators));
--- a/crates/types/src/task.rs
+++ b/crates/types/src/task.rs
@@ -16,7 +16,7 @@
     pub declared_run_time: Duration,
     /// Input for the endpoint, passed on unchanged.
     pub input: String,
-    /// Whether the task may safely run a second time.
+    /// Whether the task may run a second time without harm.
     pub idempotent: bool,
 }
 
