--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -196,7 +196,7 @@
             LinkEvent::Up(link, _) => self.links.up(link),
             LinkEvent::Message(id, message) => self.message(id, message),
             // Leases of ownerships are confirmed by messages of their own.
-            LinkEvent::Proven(..) => {}
+            LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => {
                 if let Some(entry) = self.links.down(id) {
                     self.timeline.process(
@@ -371,7 +371,7 @@
         StartRefusal::NoSlot => "no-slot",
         StartRefusal::Leaving => "leaving",
         StartRefusal::DeadlinePassed => "deadline-passed",
-        StartRefusal::Forgone => "forgone",
+        StartRefusal::Voided => "forgone",
         StartRefusal::EndpointRefused => "endpoint-refused",
         StartRefusal::Cancelled => "cancelled",
         StartRefusal::KeyReused => "key-reused",
--- a/crates/decisions/src/guard/entry_side.rs
+++ b/crates/decisions/src/guard/entry_side.rs
@@ -10,8 +10,8 @@
         timing::millis,
     },
     chestnutrun_types::{
-        AgentUpdate, Assignment, DecisionNote, EndKind, EntryId, Incarnation, Resync, Revocation,
-        Room, TaskId, ZoneId,
+        AgentUpdate, Assignment, DecisionEvent, EndKind, EntryId, Incarnation, Resources, Resync,
+        Revocation, TaskId, ZoneId,
     },
     std::time::Instant,
 };
@@ -144,7 +144,7 @@
             && !keys.is_empty()
         {
             let proven_at = state.proven_at.unwrap_or(now);
-            let note = DecisionNote::EntryLost {
+            let note = DecisionEvent::EntryLost {
                 entry: entry.clone(),
                 tasks: keys.len(),
                 proof_age_ms: millis(now.saturating_duration_since(proven_at)),
@@ -162,7 +162,7 @@
             return;
         };
         let end = run.end(now, kind);
-        self.note(DecisionNote::TaskEnded {
+        self.note(DecisionEvent::TaskEnded {
             job: run.task.job.clone(),
             task: run.task.at,
             run: run.number,
@@ -199,7 +199,7 @@
                 free: room.free,
                 most_tasks: room.most_tasks,
                 slowness: room.slowness,
-                seen: state.seen,
+                last_assignment: state.seen,
                 ends: std::mem::take(&mut state.news),
             };
             let message = GuardMessage::Update(update);
@@ -219,7 +219,7 @@
     fn room(&self, now: Instant) -> RoomToTell {
         let Some(endpoint) = &self.endpoint else {
             return RoomToTell {
-                free: Room::default(),
+                free: Resources::default(),
                 most_tasks: 0,
                 slowness: 1.0,
             };
--- a/crates/decisions/src/membership/vouching.rs
+++ b/crates/decisions/src/membership/vouching.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::membership::{EntryMessage, MembershipMachine},
-    chestnutrun_types::{EntryId, Epoch, Nonce, Now, ShardId, Testimony, Vouch, Vouched},
+    chestnutrun_types::{EntryId, Epoch, Nonce, Now, ShardId, Vote, VoteBasis, VoteRequest},
     indexmap::{IndexMap, IndexSet},
     std::time::{Duration, Instant},
 };
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(super) struct VouchQuestion {
     from: EntryId,
-    question: Vouch,
+    question: VoteRequest,
     at: Instant,
 }
 
@@ -40,7 +40,7 @@
     }
 
     /// Answers an owner's question, at once or after the next read.
-    pub(super) fn asked_to_vouch(&mut self, now: Now, from: &EntryId, question: Vouch) {
+    pub(super) fn asked_to_vouch(&mut self, now: Now, from: &EntryId, question: VoteRequest) {
         self.vouch_questions.push(VouchQuestion {
             from: from.clone(),
             question,
@@ -52,8 +52,8 @@
     }
 
     /// Takes another entry's answer.
-    pub(super) fn vouched(&mut self, from: &EntryId, vouched: Vouched) {
-        let question = vouched.question;
+    pub(super) fn vouched(&mut self, from: &EntryId, vouched: Vote) {
+        let question = vouched.request;
         let Some(round) = &mut self.round else {
             return;
         };
@@ -66,7 +66,7 @@
         let began_at = round.began_at;
         let words = round.words.entry(question.shard).or_default();
         words.insert(from.clone());
-        if vouched.testimony == Testimony::Read || owned.is_vouched(words) {
+        if vouched.basis == VoteBasis::TableRead || owned.is_vouched(words) {
             self.confirm(question.shard, began_at);
         }
     }
@@ -79,7 +79,7 @@
                 self.vouch_questions.push(question);
             } else if self.recorded_epoch(question.question.shard) == Some(question.question.epoch)
             {
-                self.testify(&question, Testimony::Read);
+                self.testify(&question, VoteBasis::TableRead);
             }
         }
     }
@@ -94,7 +94,7 @@
         for question in questions {
             let known = self.announced.get(&question.question.shard);
             if known.is_none_or(|epoch| *epoch <= question.question.epoch) {
-                self.testify(&question, Testimony::Word);
+                self.testify(&question, VoteBasis::NoLaterOwnership);
             }
         }
     }
@@ -106,7 +106,7 @@
         let mut questions = Vec::new();
         for (shard, owned) in &self.owned {
             words.insert(*shard, IndexSet::from([me.clone()]));
-            let question = Vouch {
+            let question = VoteRequest {
                 nonce,
                 shard: *shard,
                 epoch: owned.owner.epoch,
@@ -125,10 +125,10 @@
         }
     }
 
-    fn testify(&mut self, question: &VouchQuestion, testimony: Testimony) {
-        let vouched = Vouched {
-            question: question.question,
-            testimony,
+    fn testify(&mut self, question: &VouchQuestion, testimony: VoteBasis) {
+        let vouched = Vote {
+            request: question.question,
+            basis: testimony,
         };
         self.send(&question.from, EntryMessage::Vouched(vouched));
     }
--- a/crates/decisions/src/placement/agent_inputs.rs
+++ b/crates/decisions/src/placement/agent_inputs.rs
@@ -9,8 +9,8 @@
         timing::{LOST_AGENT_RUNS_END_AFTER, millis},
     },
     chestnutrun_types::{
-        AgentId, AgentUpdate, AssignmentId, DecisionNote, EndKind, EndpointInfo, Incarnation,
-        Resync, Revocation, StepTask, TaskEnd,
+        AgentId, AgentUpdate, AssignmentId, DecisionEvent, EndKind, EndpointInfo, Incarnation,
+        Resync, Revocation, TaskEnd, TaskPosition,
     },
     std::time::Instant,
 };
@@ -33,7 +33,7 @@
         if !is_same {
             self.agent_down(now, agent);
         }
-        self.record(DecisionNote::AgentLinked {
+        self.record(DecisionEvent::AgentLinked {
             agent: agent.clone(),
             incarnation,
             endpoint: resync.info.as_ref().map(|info| info.endpoint.clone()),
@@ -56,7 +56,7 @@
         &mut self,
         now: Instant,
         agent: &AgentId,
-        live: &[(AssignmentId, StepTask)],
+        live: &[(AssignmentId, TaskPosition)],
         ends: Vec<TaskEnd>,
     ) {
         for end in ends {
@@ -113,7 +113,7 @@
             }
         }
         if was_linked {
-            self.record(DecisionNote::AgentLost {
+            self.record(DecisionEvent::AgentLost {
                 agent: agent.clone(),
                 in_doubt,
             });
@@ -126,7 +126,7 @@
         };
         let is_new = info.is_some() && view.info.is_none();
         let known = info.as_ref();
-        let note = DecisionNote::EndpointChanged {
+        let note = DecisionEvent::EndpointChanged {
             agent: agent.clone(),
             endpoint: known.map(|info| info.endpoint.clone()),
             incarnation: known.map_or(0, |info| info.incarnation),
@@ -207,7 +207,7 @@
         let is_done = job.is_done();
         if end.kind != EndKind::Done {
             job.returned += 1;
-            let note = DecisionNote::TaskReturned {
+            let note = DecisionEvent::TaskReturned {
                 job: job.job.id.clone(),
                 task: end.at,
                 agent: agent.clone(),
--- a/crates/decisions/src/placement/candidates.rs
+++ b/crates/decisions/src/placement/candidates.rs
@@ -2,7 +2,9 @@
 
 use {
     crate::placement::{endpoint_view::EndpointView, held_job::HeldJob, held_task::HeldTask},
-    chestnutrun_types::{AgentId, EndpointInfo, JobId, Label, Room, StepSpec, StepTask, ZoneId},
+    chestnutrun_types::{
+        AgentId, EndpointInfo, JobId, Label, Resources, StepSpec, TaskPosition, ZoneId,
+    },
     indexmap::IndexMap,
     xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed},
 };
@@ -27,7 +29,7 @@
 struct Candidate {
     agent: AgentId,
     info: EndpointInfo,
-    free: Room,
+    free: Resources,
     most_tasks: u16,
     slowness: f32,
     is_other_zone: bool,
@@ -35,7 +37,7 @@
     cost: f32,
     /// Half of the free room when the present job's turn came, less the room
     /// that the job took since.
-    half: Room,
+    half: Resources,
 }
 
 /// The endpoints of all services that have room, during one placement of the
@@ -60,7 +62,7 @@
                 slowness: view.slowness(),
                 is_other_zone: info.zone != *zone,
                 cost: 0.0,
-                half: Room::default(),
+                half: Resources::default(),
             })
         });
         Self {
@@ -79,19 +81,19 @@
         &mut self,
         job: &HeldJob,
         tasks: &[HeldTask],
-    ) -> IndexMap<AgentId, Vec<StepTask>> {
+    ) -> IndexMap<AgentId, Vec<TaskPosition>> {
         let rack = job.job.steps.iter().find_map(|step| step.rack.as_ref());
         for candidate in &mut self.candidates {
             candidate.cost = candidate.cost(rack, &job.job.id);
             candidate.half = candidate.free.half();
         }
         self.candidates.sort_by(|a, b| a.cost.total_cmp(&b.cost));
-        let mut chosen: IndexMap<AgentId, Vec<StepTask>> = IndexMap::new();
+        let mut chosen: IndexMap<AgentId, Vec<TaskPosition>> = IndexMap::new();
         for task in tasks {
             let step = job.step(task.at.step);
             // Half of an endpoint's room is left to other entries, which do not
             // know of this choice yet, unless the job finds no room elsewhere.
-            let find = |room: fn(&Candidate) -> Room| {
+            let find = |room: fn(&Candidate) -> Resources| {
                 self.candidates.iter().position(|candidate| {
                     candidate.info.service == job.route.service
                         && room(candidate).fits(step.need)
@@ -140,7 +142,7 @@
         &self,
         task: &HeldTask,
         step: &StepSpec,
-        chosen: &IndexMap<AgentId, Vec<StepTask>>,
+        chosen: &IndexMap<AgentId, Vec<TaskPosition>>,
     ) -> bool {
         let given = chosen.get(&self.agent).map_or(&[][..], Vec::as_slice);
         let of_step = given.iter().filter(|at| at.step == task.at.step).count();
--- a/crates/decisions/src/placement/endpoint_view.rs
+++ b/crates/decisions/src/placement/endpoint_view.rs
@@ -1,7 +1,7 @@
 //! An entry's view of one agent and its endpoint.
 
 use {
-    chestnutrun_types::{AgentUpdate, AssignmentId, EndpointInfo, Incarnation, Room},
+    chestnutrun_types::{AgentUpdate, AssignmentId, EndpointInfo, Incarnation, Resources},
     std::{
         collections::VecDeque,
         time::{Duration, Instant},
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Claim {
     assignment: AssignmentId,
-    room: Room,
+    room: Resources,
     tasks: u16,
 }
 
@@ -47,7 +47,7 @@
         while self
             .claims
             .front()
-            .is_some_and(|claim| claim.assignment <= update.seen)
+            .is_some_and(|claim| claim.assignment <= update.last_assignment)
         {
             self.claims.pop_front();
         }
@@ -58,7 +58,7 @@
     }
 
     /// Reserves room for an assignment that is sent to the agent.
-    pub(crate) fn claim(&mut self, assignment: AssignmentId, room: Room, tasks: u16) {
+    pub(crate) fn claim(&mut self, assignment: AssignmentId, room: Resources, tasks: u16) {
         self.claims.push_back(Claim {
             assignment,
             room,
@@ -74,9 +74,9 @@
     }
 
     /// Returns the reported free room without this entry's claims.
-    pub(crate) fn free(&self) -> Room {
+    pub(crate) fn free(&self) -> Resources {
         let claimed = self.claims.iter().map(|claim| claim.room);
-        claimed.fold(self.reported.free, Room::minus)
+        claimed.fold(self.reported.free, Resources::minus)
     }
 
     /// Returns how many further tasks the endpoint takes now.
--- a/crates/decisions/src/placement/held_job.rs
+++ b/crates/decisions/src/placement/held_job.rs
@@ -10,8 +10,8 @@
         timing::millis,
     },
     chestnutrun_types::{
-        AgentId, AssignmentId, BestEffortJob, DecisionNote, Route, RunNumber, StepIndex, StepSpec,
-        StepTask,
+        AgentId, AssignmentId, BestEffortJob, DecisionEvent, Route, RunNumber, StepIndex, StepSpec,
+        TaskPosition,
     },
     std::{rc::Rc, sync::Arc, time::Instant},
 };
@@ -43,7 +43,7 @@
     pub(crate) fn new(now: Instant, submission: Submission, objective: Objective) -> Self {
         let mut tasks = Vec::new();
         for (step, spec) in (0..).zip(&submission.job.steps) {
-            let of_step = (0..spec.tasks).map(|index| HeldTask::new(StepTask { step, index }));
+            let of_step = (0..spec.tasks).map(|index| HeldTask::new(TaskPosition { step, index }));
             tasks.extend(of_step);
         }
         Self {
@@ -64,18 +64,18 @@
         &self.job.steps[usize::from(step)]
     }
 
-    pub(crate) fn task_mut(&mut self, at: StepTask) -> Option<&mut HeldTask> {
+    pub(crate) fn task_mut(&mut self, at: TaskPosition) -> Option<&mut HeldTask> {
         self.tasks.iter_mut().find(|task| task.at == at)
     }
 
     /// Returns the log record for the answer to the caller.
-    pub(crate) fn answer_note(&self, now: Instant, outcome: JobOutcome) -> DecisionNote {
+    pub(crate) fn answer_note(&self, now: Instant, outcome: JobOutcome) -> DecisionEvent {
         let since = |at: Instant| millis(at.saturating_duration_since(self.arrived_at));
         let done = self
             .tasks
             .iter()
             .filter(|task| task.state == TaskState::Done);
-        DecisionNote::JobAnswered {
+        DecisionEvent::JobAnswered {
             job: self.job.id.clone(),
             route: self.route.id.clone(),
             outcome: outcome.name().into(),
--- a/crates/decisions/src/placement/messages.rs
+++ b/crates/decisions/src/placement/messages.rs
@@ -2,7 +2,7 @@
 
 use {
     chestnutrun_types::{
-        AgentId, AgentUpdate, Assignment, BestEffortJob, DecisionNote, EndpointInfo, Incarnation,
+        AgentId, AgentUpdate, Assignment, BestEffortJob, DecisionEvent, EndpointInfo, Incarnation,
         JobId, Resync, Revocation, Route,
     },
     std::{
@@ -104,5 +104,5 @@
     /// Takes assignments back: the agent drops or stops their tasks.
     Revoke(AgentId, Revocation),
     /// Records a decision in the structured log.
-    Record(DecisionNote),
+    Record(DecisionEvent),
 }
--- a/crates/decisions/src/placement/placing.rs
+++ b/crates/decisions/src/placement/placing.rs
@@ -7,7 +7,9 @@
         },
         timing::millis,
     },
-    chestnutrun_types::{AgentId, AssignedTask, Assignment, DecisionNote, Room, StepTask},
+    chestnutrun_types::{
+        AgentId, AssignedTask, Assignment, DecisionEvent, Resources, TaskPosition,
+    },
     std::time::{Duration, Instant},
 };
 
@@ -67,7 +69,7 @@
         now: Instant,
         caller: CallerId,
         agent: &AgentId,
-        tasks: &[StepTask],
+        tasks: &[TaskPosition],
     ) {
         let id = self.next_assignment;
         let Some(job) = self.jobs.get_mut(&caller) else {
@@ -75,7 +77,7 @@
         };
         self.next_assignment += 1;
         self.by_assignment.insert(id, caller);
-        let mut room = Room::default();
+        let mut room = Resources::default();
         let mut assigned = Vec::with_capacity(tasks.len());
         for at in tasks {
             let step = job.step(at.step);
@@ -108,7 +110,7 @@
         let after_ms = millis(now.saturating_duration_since(job.arrived_at));
         let job_id = job.job.id.clone();
         if let Some(view) = self.views.get_mut(agent) {
-            let note = DecisionNote::TasksPlaced {
+            let note = DecisionEvent::TasksPlaced {
                 job: job_id,
                 agent: agent.clone(),
                 assignment: id,
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -229,10 +229,10 @@
             Message::Reply(reply) => self.front(now, FrontInput::Reply(reply)),
             Message::Owner(owner) => self.peer_message(now, entry, EntryMessage::Owner(owner)),
             Message::Agents(agents) => self.peer_message(now, entry, EntryMessage::Agents(agents)),
-            Message::Vouch(request) => {
+            Message::VoteRequest(request) => {
                 self.peer_message(now, entry, EntryMessage::Vouch(request));
             }
-            Message::Vouched(vote) => {
+            Message::Vote(vote) => {
                 self.peer_message(now, entry, EntryMessage::Vouched(vote));
             }
             Message::Acknowledgement(ack) => {
@@ -386,8 +386,8 @@
             EntryMessage::Acknowledgement(ack) => {
                 self.answer_entry(entry, Message::Acknowledgement(ack));
             }
-            EntryMessage::Vouch(request) => self.send_entry(entry, Message::Vouch(request)),
-            EntryMessage::Vouched(vote) => self.answer_entry(entry, Message::Vouched(vote)),
+            EntryMessage::Vouch(request) => self.send_entry(entry, Message::VoteRequest(request)),
+            EntryMessage::Vouched(vote) => self.answer_entry(entry, Message::Vote(vote)),
         }
     }
 
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -5,8 +5,8 @@
         DispatchAction, DispatchInput, Dispatcher, JobOutcome, Submission,
     },
     chestnutrun_types::{
-        AgentUpdate, Assignment, BestEffortJob, EndKind, EndpointInfo, Now, Resync, Room, Route,
-        StepSpec, TaskEnd,
+        AgentUpdate, Assignment, BestEffortJob, EndKind, EndpointInfo, Now, Resources, Resync,
+        Route, StepSpec, TaskEnd,
     },
     rstest::{fixture, rstest},
     std::{
@@ -99,15 +99,15 @@
             free: room(free),
             most_tasks: u16::MAX,
             slowness: 1.0,
-            seen: u64::MAX,
+            last_assignment: u64::MAX,
             ends,
         };
         self.at(after, DispatchInput::Update(AGENT.into(), update))
     }
 }
 
-fn room(tasks: u32) -> Room {
-    Room {
+fn room(tasks: u32) -> Resources {
+    Resources {
         cpu_millis: tasks * TASK_CPU,
         memory_mb: tasks * 10,
         accelerators: 0,
--- a/crates/dispatch/src/entry_loop.rs
+++ b/crates/dispatch/src/entry_loop.rs
@@ -16,7 +16,7 @@
     chestnutrun_net::{Link, LinkEvent, LinkId, LinkIds, LinkServerConf, PeerName, serve_links},
     chestnutrun_observe::as_u64,
     chestnutrun_protocol::{Hello, Message},
-    chestnutrun_types::{DecisionNote, Member, MemberList, Now, RoutingTable, ZoneId},
+    chestnutrun_types::{DecisionEvent, Member, MemberList, Now, RoutingTable, ZoneId},
     indexmap::IndexMap,
     std::{
         net::SocketAddr,
@@ -278,7 +278,7 @@
             }
             CallerEvent::RouteNotFound(host, path) => {
                 let routing_version = self.routing.version();
-                let note = DecisionNote::RouteNotFound {
+                let note = DecisionEvent::RouteNotFound {
                     host,
                     path,
                     routing_version,
@@ -339,7 +339,7 @@
         match event {
             LinkEvent::Up(link, peer) => self.handle_link_up(link, peer),
             LinkEvent::Message(id, message) => self.handle_message(id, message),
-            LinkEvent::Proven(..) => {}
+            LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => {
                 self.routing_sync.remove_peer(id);
                 if let Some(agent) = self.peers.remove(id) {
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -20,7 +20,7 @@
             LinkEvent::Up(link, peer) => self.link_up(link, peer),
             LinkEvent::Message(id, message) => self.message(id, message),
             // Ownerships are confirmed by messages of their own.
-            LinkEvent::Proven(..) => {}
+            LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => self.link_down(id),
         }
     }
@@ -47,8 +47,8 @@
             EntryMessage::Acknowledgement(acknowledgement) => {
                 self.answer_entry(entry, Message::Acknowledgement(acknowledgement));
             }
-            EntryMessage::Vouch(question) => self.send_entry(entry, Message::Vouch(question)),
-            EntryMessage::Vouched(vouched) => self.answer_entry(entry, Message::Vouched(vouched)),
+            EntryMessage::Vouch(question) => self.send_entry(entry, Message::VoteRequest(question)),
+            EntryMessage::Vouched(vouched) => self.answer_entry(entry, Message::Vote(vouched)),
         }
     }
 
@@ -201,8 +201,8 @@
             }
             Message::Owner(owner) => self.entry_says(entry, EntryMessage::Owner(owner)),
             Message::Agents(agents) => self.entry_says(entry, EntryMessage::Agents(agents)),
-            Message::Vouch(question) => self.entry_says(entry, EntryMessage::Vouch(question)),
-            Message::Vouched(vouched) => self.entry_says(entry, EntryMessage::Vouched(vouched)),
+            Message::VoteRequest(question) => self.entry_says(entry, EntryMessage::Vouch(question)),
+            Message::Vote(vouched) => self.entry_says(entry, EntryMessage::Vouched(vouched)),
             Message::Acknowledgement(acknowledgement) => {
                 let message = EntryMessage::Acknowledgement(acknowledgement);
                 self.entry_says(entry, message);
--- a/crates/table/src/configuration_store.rs
+++ b/crates/table/src/configuration_store.rs
@@ -1,16 +1,16 @@
-//! The border between operators' requests and the platform's table.
+//! Interface through which operators' requests change the platform's table.
 
 use {
-    crate::{Answer, Change, ChangeResult, HistoryEntry, TableError},
+    crate::{Change, ChangeResult, HistoryEntry, TableError, TableFuture},
     chestnutrun_types::ContractId,
     std::fmt,
 };
 
-/// The part of the platform's table that operators change.
+/// Access to the rows of the platform's table that operators change.
 pub trait ConfigurationStore: fmt::Debug {
-    /// Writes a change and, for a contract, its history.
-    fn change(&self, change: Change) -> Answer<ChangeResult>;
+    /// Writes a change; a change of a contract is also added to its history.
+    fn change(&self, change: Change) -> TableFuture<ChangeResult>;
 
-    /// Reads a contract's history, the latest change last.
-    fn history(&self, contract: ContractId) -> Answer<Result<Vec<HistoryEntry>, TableError>>;
+    /// Reads a contract's history, oldest change first.
+    fn history(&self, contract: ContractId) -> TableFuture<Result<Vec<HistoryEntry>, TableError>>;
 }
--- a/crates/table/src/lib.rs
+++ b/crates/table/src/lib.rs
@@ -1,4 +1,5 @@
-//! The platform's transactional table, as the dispatcher uses it.
+//! Access to the platform's transactional table: the dispatcher's rows there, and
+//! an HTTP client.
 
 mod change;
 mod configuration_store;
@@ -10,10 +11,10 @@
 mod wire;
 
 pub use {
-    change::{Change, ChangeResult, HistoryEntry, Present},
+    change::{Change, ChangeResult, CurrentRow, HistoryEntry},
     configuration_store::ConfigurationStore,
     errors::TableError,
     http_table::HttpTable,
-    table::{Answer, Table},
+    table::{Table, TableFuture},
     wire::{Condition, ConflictReply, RowReply, RowsReply, Transaction, TransactionReply, Write},
 };
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,14 +1,14 @@
 //! Core types of the dispatcher: ids, contracts, jobs, tasks, ownership and the
 //! bodies of the messages that processes exchange.
 //!
-//! Nothing here knows how a message is encoded or carried.
+//! The types do not depend on how messages are encoded and transported.
 
 mod answer;
 mod assignment;
 mod best_effort_job;
 mod configuration;
 mod contract;
-mod decision_note;
+mod decision_event;
 mod endpoint_report;
 mod exchange;
 mod ids;
@@ -16,7 +16,7 @@
 mod member;
 mod now;
 mod refusal;
-mod room;
+mod resources;
 mod routing;
 mod step;
 mod table;
@@ -24,24 +24,24 @@
 
 pub use {
     answer::{JobAnswer, JobStatus, TaskAnswer, TaskOutcome},
-    assignment::{AssignedTask, Assignment, Revocation, StepTask, TaskId},
+    assignment::{AssignedTask, Assignment, Revocation, TaskId, TaskPosition},
     best_effort_job::{BestEffortJob, BestEffortJobError, MAX_PAYLOAD_BYTES, MAX_STEP_TASKS},
     configuration::{Configuration, DrainState, RowRevisions},
     contract::{Contract, ContractBuilder, ContractError, Overflow},
-    decision_note::DecisionNote,
+    decision_event::DecisionEvent,
     endpoint_report::{AgentUpdate, EndKind, EndpointInfo, Resync, TaskEnd},
     exchange::{
         Acknowledgement, AgentHello, Confirm, Confirmation, Fence, FenceReply, Finished, JobReply,
         KeyHash, KnownAgents, KnownRun, Lookup, LookupReply, RecordState, Reply, RunRecords,
-        SentStart, Start, StartRefusal, StartRefused, Submit, TaskRecord, Testimony, Vouch,
-        Vouched,
+        SentStart, Start, StartRefusal, StartRefused, Submit, TaskRecord, Vote, VoteBasis,
+        VoteRequest,
     },
     ids::*,
     job::{JobError, JobRef, JobSpec, MAX_TASKS_PER_JOB},
     member::{Electorate, Member, MemberList, ShardOwner},
     now::Now,
     refusal::{Refusal, RefusalReason},
-    room::Room,
+    resources::Resources,
     routing::{Route, RoutingTable},
     step::StepSpec,
     table::{TableRow, TableSnapshot, TableWrite, Versioned, WriteResult},
