--- a/crates/decisions/src/guard/endpoint_clock.rs
+++ b/crates/decisions/src/guard/endpoint_clock.rs
@@ -1,63 +1,65 @@
-//! What is known of an endpoint's clock and of the lease of its runs.
+//! Estimate of an endpoint's clock and the end of the lease of its runs.
 
 use std::time::{Duration, Instant};
 
-/// Time on an endpoint's clock, since its start.
+/// Time on an endpoint's clock, counted from the start of the endpoint's process.
 pub type EndpointTime = Duration;
 
-/// Share by which an endpoint's clock may be slow, in percent; from the
-/// platform's description of leases.
+/// Percentage by which an endpoint's clock may run slow, as the platform
+/// specifies for leases.
 const CLOCK_RATE_ERROR_PERCENT: u32 = 2;
 
-/// An endpoint's clock as of its last answer, and the end of the lease that
-/// was asked for.
+/// The newest known reading of an endpoint's clock, and the latest end of the
+/// leases that were requested.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointClock {
-    read: EndpointTime,
-    read_at: Instant,
-    lapses_at: Option<Instant>,
+    reading: EndpointTime,
+    received_at: Instant,
+    leases_end_at: Option<Instant>,
 }
 
 impl EndpointClock {
-    /// Starts with a reading that arrived now.
+    /// Creates the estimate from a reading that arrived at `now`.
     #[must_use]
-    pub fn new(now: Instant, read: EndpointTime) -> Self {
+    pub fn new(now: Instant, reading: EndpointTime) -> Self {
         Self {
-            read,
-            read_at: now,
-            lapses_at: None,
+            reading,
+            received_at: now,
+            leases_end_at: None,
         }
     }
 
-    /// Takes a reading that arrived now.
+    /// Updates the estimate with a reading that arrived at `now`.
     ///
-    /// A reading that was long under way shows less than the clock now shows;
-    /// the one that shows the most is the newest.
-    pub fn take(&mut self, now: Instant, read: EndpointTime) {
-        if read > self.at(now)
-            || now.saturating_duration_since(self.read_at) > Duration::from_secs(1)
+    /// A reading that was delayed on its way is behind the current estimate and
+    /// is ignored, unless the stored reading is older than a second.
+    pub fn update(&mut self, now: Instant, reading: EndpointTime) {
+        if reading > self.at(now)
+            || now.saturating_duration_since(self.received_at) > Duration::from_secs(1)
         {
-            self.read = read;
-            self.read_at = now;
+            self.reading = reading;
+            self.received_at = now;
         }
     }
 
-    /// Returns a time that the clock has at least reached.
+    /// Returns a lower bound of the endpoint's clock at `now`.
     #[must_use]
     pub fn at(&self, now: Instant) -> EndpointTime {
-        self.read + now.saturating_duration_since(self.read_at)
+        self.reading + now.saturating_duration_since(self.received_at)
     }
 
-    /// Asks for a lease from now on; returns its end on the endpoint's clock.
-    pub fn lease(&mut self, now: Instant, length: Duration) -> EndpointTime {
+    /// Extends the lease to `length` from `now`; returns its end on the
+    /// endpoint's clock.
+    pub fn extend_lease(&mut self, now: Instant, length: Duration) -> EndpointTime {
         let longest = length + length * CLOCK_RATE_ERROR_PERCENT / 100;
-        self.lapses_at = self.lapses_at.max(Some(now + longest));
+        self.leases_end_at = self.leases_end_at.max(Some(now + longest));
         self.at(now) + length
     }
 
-    /// Returns when every lease that was asked for is over.
+    /// Returns when every requested lease is over, also on a slow clock; none
+    /// before the first request.
     #[must_use]
-    pub fn lapses_at(&self) -> Option<Instant> {
-        self.lapses_at
+    pub fn leases_end_at(&self) -> Option<Instant> {
+        self.leases_end_at
     }
 }
--- a/crates/decisions/src/guard/endpoint_side.rs
+++ b/crates/decisions/src/guard/endpoint_side.rs
@@ -1,4 +1,4 @@
-//! What the endpoint says of itself.
+//! Announcements, end and clock of the endpoint, and the lapse of its leases.
 
 use {
     crate::{
@@ -14,9 +14,9 @@
 };
 
 impl GuardMachine {
-    pub(super) fn announced(&mut self, now: Instant, announcement: Announcement) {
+    pub(super) fn handle_announcement(&mut self, now: Instant, announcement: Announcement) {
         let Some(endpoint) = &mut self.endpoint else {
-            self.endpoint_news(&announcement.info, "announced");
+            self.record_endpoint_event(&announcement.info, "announced");
             self.endpoint = Some(EndpointState::new(now, announcement));
             return;
         };
@@ -26,34 +26,34 @@
             return;
         }
         if !is_same {
-            self.replaced(now, announcement);
+            self.replace_endpoint(now, announcement);
             return;
         }
         if announcement.sequence <= endpoint.sequence {
             return;
         }
         endpoint.sequence = announcement.sequence;
-        endpoint.clock.take(now, announcement.clock);
+        endpoint.clock.update(now, announcement.clock);
         let is_changed = endpoint.info != announcement.info;
         endpoint.info = announcement.info;
         if announcement.leaving && !endpoint.is_leaving {
             endpoint.is_leaving = true;
             let info = endpoint.info.clone();
-            self.endpoint_news(&info, "leaving");
+            self.record_endpoint_event(&info, "leaving");
             self.return_waiting(now);
             self.mark_stale();
         }
         if is_changed {
-            self.tell_endpoint();
+            self.send_endpoint_info();
         }
     }
 
-    /// Takes another endpoint, or the same one after a start.
+    /// Switches to another endpoint, or to a new incarnation of the same one.
     ///
-    /// Under the same id an order for the earlier incarnation may have reached
-    /// the new one, or may still do so: what was started is stopped there, under
-    /// a token that shuts out what comes later.
-    fn replaced(&mut self, now: Instant, announcement: Announcement) {
+    /// A new incarnation of the same endpoint may receive orders that were sent
+    /// to the earlier one. Every started run is therefore stopped there, under a
+    /// higher token that fences orders still on their way.
+    fn replace_endpoint(&mut self, now: Instant, announcement: Announcement) {
         let is_same_id = self
             .endpoint
             .as_ref()
@@ -61,38 +61,38 @@
         if is_same_id {
             self.return_waiting(now);
         } else {
-            self.lose_all(now);
+            self.end_all_runs(now);
         }
-        self.endpoint_news(&announcement.info, "replaced");
+        self.record_endpoint_event(&announcement.info, "replaced");
         self.endpoint = Some(EndpointState::new(now, announcement));
         self.token += NUMBER_STEP;
-        for key in self.runs.keys(|_| true) {
+        for key in self.runs.keys_where(|_| true) {
             if let Some(run) = self.runs.get_mut(&key) {
                 run.phase = Phase::Stopping;
-                run.end_as = EndKind::Stopped;
+                run.end_kind = EndKind::Stopped;
             }
-            self.order_stop(now, &key);
+            self.send_stop_order(now, &key);
         }
-        self.tell_endpoint();
+        self.send_endpoint_info();
     }
 
-    pub(super) fn endpoint_ended(&mut self, now: Instant, ended: &EndpointId) {
+    pub(super) fn handle_endpoint_end(&mut self, now: Instant, ended: &EndpointId) {
         if self
             .endpoint
             .as_ref()
             .is_some_and(|e| e.info.endpoint == *ended)
         {
-            self.lose_all(now);
-            if let Some(gone) = self.endpoint.take() {
-                self.endpoint_news(&gone.info, "gone");
+            self.end_all_runs(now);
+            if let Some(ended) = self.endpoint.take() {
+                self.record_endpoint_event(&ended.info, "gone");
             }
-            self.tell_endpoint();
+            self.send_endpoint_info();
         }
     }
 
-    /// Ends everything, since the endpoint is gone.
-    pub(super) fn lose_all(&mut self, now: Instant) {
-        for key in self.runs.keys(|_| true) {
+    /// Ends every run, waiting or started, because the endpoint no longer exists.
+    pub(super) fn end_all_runs(&mut self, now: Instant) {
+        for key in self.runs.keys_where(|_| true) {
             let is_waiting = self
                 .runs
                 .get_mut(&key)
@@ -102,35 +102,36 @@
             } else {
                 EndKind::Stopped
             };
-            self.finish(now, &key, kind);
+            self.finish_run(now, &key, kind);
         }
     }
 
-    /// Gives up what ran at an endpoint whose every lease is over.
-    pub(super) fn lapse(&mut self, now: Instant) {
+    /// Ends the runs at the endpoint once every lease is over: the endpoint has
+    /// stopped them by itself.
+    pub(super) fn end_lapsed_runs(&mut self, now: Instant) {
         let Some(endpoint) = &mut self.endpoint else {
             return;
         };
-        if endpoint.clock.lapses_at().is_none_or(|at| now <= at) {
+        if endpoint.clock.leases_end_at().is_none_or(|at| now <= at) {
             return;
         }
-        let lapsed = self.runs.keys(Run::is_at_endpoint);
+        let lapsed = self.runs.keys_where(Run::is_at_endpoint);
         if lapsed.is_empty() {
             return;
         }
         endpoint.is_clean = false;
-        endpoint.health.failed();
+        endpoint.health.record_failure();
         let info = endpoint.info.clone();
-        self.endpoint_news(&info, "silent");
+        self.record_endpoint_event(&info, "silent");
         for key in lapsed {
-            self.finish(now, &key, EndKind::Stopped);
+            self.finish_run(now, &key, EndKind::Stopped);
         }
         self.mark_stale();
     }
 
-    /// Takes the clock of an answer; returns whether the endpoint is the
-    /// present one.
-    pub(super) fn note_clock<T>(
+    /// Updates the endpoint's clock from an answer; returns whether the answer
+    /// is from the current incarnation.
+    pub(super) fn update_clock<T>(
         &mut self,
         now: Instant,
         incarnation: Incarnation,
@@ -143,14 +144,14 @@
             return false;
         }
         if let Answer::Done(clock, _) | Answer::Refused(Some(clock), _) = answer {
-            endpoint.clock.take(now, *clock);
-            endpoint.heard_at = now;
+            endpoint.clock.update(now, *clock);
+            endpoint.last_contact_at = now;
         }
         true
     }
 
-    /// Takes the clock of an answer; returns the run that it is about, unless
-    /// that is over.
+    /// Updates the endpoint's clock from an answer; returns the run that the
+    /// answer concerns, or none if the run has ended.
     pub(super) fn answered_run(
         &mut self,
         now: Instant,
@@ -158,19 +159,22 @@
         number: RunNumber,
         answer: &Answer<()>,
     ) -> Option<RunKey> {
-        if !self.note_clock(now, endpoint, answer) {
+        if !self.update_clock(now, endpoint, answer) {
             return None;
         }
-        self.runs.numbered(number).map(|run| run.key.clone())
+        self.runs
+            .get_by_number_mut(number)
+            .map(|run| run.key.clone())
     }
 
-    pub(super) fn announced_info(&self) -> Option<EndpointInfo> {
+    /// Returns the endpoint as reported to entries; none until it is clean.
+    pub(super) fn clean_endpoint_info(&self) -> Option<EndpointInfo> {
         let clean = self.endpoint.as_ref().filter(|endpoint| endpoint.is_clean);
         clean.map(|endpoint| endpoint.info.clone())
     }
 
-    pub(super) fn tell_endpoint(&mut self) {
-        let info = self.announced_info();
+    pub(super) fn send_endpoint_info(&mut self) {
+        let info = self.clean_endpoint_info();
         for (entry, state) in &self.entries {
             if state.is_linked {
                 let message = GuardMessage::Endpoint(info.clone());
@@ -179,17 +183,17 @@
         }
     }
 
-    pub(super) fn endpoint_news(&mut self, info: &EndpointInfo, news: &'static str) {
-        self.note(DecisionNote::EndpointNews {
+    pub(super) fn record_endpoint_event(&mut self, info: &EndpointInfo, event: &'static str) {
+        self.record_decision(DecisionNote::EndpointNews {
             endpoint: info.endpoint.clone(),
             incarnation: info.incarnation,
-            news: news.into(),
+            news: event.into(),
         });
     }
 
-    pub(super) fn endpoint_failed(&mut self) {
+    pub(super) fn record_endpoint_failure(&mut self) {
         if let Some(endpoint) = &mut self.endpoint {
-            endpoint.health.failed();
+            endpoint.health.record_failure();
         }
     }
 }
--- a/crates/decisions/src/guard/endpoint_state.rs
+++ b/crates/decisions/src/guard/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! What an agent knows of its endpoint.
+//! State that an agent keeps for its endpoint.
 
 use {
     crate::{
@@ -9,50 +9,50 @@
     std::time::Instant,
 };
 
-/// The list orders that are out.
+/// Unanswered list orders, and when the last one was sent.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ListsOut {
-    /// One that waits for ends.
-    pub(crate) poll: bool,
-    /// One that does not wait, and when it was sent.
-    pub(crate) look: Option<Instant>,
-    /// When the newest was sent.
-    pub(crate) sent_at: Option<Instant>,
+pub(crate) struct ListsInFlight {
+    /// Whether a long poll, which waits for ended runs, is unanswered.
+    pub(crate) long_poll: bool,
+    /// When the unanswered immediate list was sent.
+    pub(crate) immediate_sent_at: Option<Instant>,
+    /// When the last order of either kind was sent.
+    pub(crate) last_sent_at: Option<Instant>,
 }
 
-impl ListsOut {
-    /// Returns when one that does not wait is due, while something runs.
-    pub(crate) fn look_at(&self) -> Option<Instant> {
-        self.sent_at.map(|at| at + IMMEDIATE_LIST_AFTER)
+impl ListsInFlight {
+    /// Returns when the next immediate list is due while tasks run.
+    pub(crate) fn immediate_list_at(&self) -> Option<Instant> {
+        self.last_sent_at.map(|at| at + IMMEDIATE_LIST_AFTER)
     }
 }
 
-/// What an agent knows of its endpoint.
+/// State that an agent keeps for its endpoint.
 #[derive(Debug)]
 pub(crate) struct EndpointState {
     pub(crate) info: EndpointInfo,
     pub(crate) clock: EndpointClock,
-    /// Position of the newest announcement.
+    /// Sequence number of the newest announcement.
     pub(crate) sequence: u64,
     pub(crate) health: EndpointHealth,
     pub(crate) is_leaving: bool,
-    /// Whether a later incarnation answers, which has not announced itself.
+    /// Whether a later incarnation answers that has not announced itself yet.
     pub(crate) is_superseded: bool,
-    /// Whether runs that this agent did not start are gone.
+    /// Whether the endpoint is known to run only tasks that this agent started.
     pub(crate) is_clean: bool,
-    /// Newest end that was noted.
-    pub(crate) seen: EndNumber,
+    /// Number of the newest end that was processed.
+    pub(crate) last_end: EndNumber,
     /// When the endpoint last answered or announced itself.
-    pub(crate) heard_at: Instant,
-    /// The list orders that are out.
-    pub(crate) lists: ListsOut,
-    /// Moment until which no list is asked for, after one was refused.
-    pub(crate) poll_after: Option<Instant>,
+    pub(crate) last_contact_at: Instant,
+    /// Unanswered list orders.
+    pub(crate) lists: ListsInFlight,
+    /// No list order is sent before this moment, after one was refused or broke.
+    pub(crate) lists_paused_until: Option<Instant>,
     /// How many runs failed.
     pub(crate) failures: usize,
     /// When a run failed last.
     pub(crate) failed_at: Option<Instant>,
-    /// Moment until which no start is tried, after one was refused for room.
+    /// No start is sent before this moment, after one was refused for lack of room.
     pub(crate) full_until: Option<Instant>,
 }
 
@@ -66,33 +66,34 @@
             is_leaving: announcement.leaving,
             is_superseded: false,
             is_clean: false,
-            seen: 0,
-            heard_at: now,
-            lists: ListsOut::default(),
-            poll_after: None,
+            last_end: 0,
+            last_contact_at: now,
+            lists: ListsInFlight::default(),
+            lists_paused_until: None,
             failures: 0,
             failed_at: None,
             full_until: None,
         }
     }
 
-    /// Whether the endpoint answered a short while ago.
-    pub(crate) fn is_heard(&self, now: Instant) -> bool {
-        now < self.heard_at + ENDPOINT_SILENCE_LIMIT
+    /// Whether the endpoint answered within `ENDPOINT_SILENCE_LIMIT`.
+    pub(crate) fn is_responsive(&self, now: Instant) -> bool {
+        now < self.last_contact_at + ENDPOINT_SILENCE_LIMIT
     }
 
-    /// Returns how many tasks the endpoint is to get now.
+    /// Returns how many tasks may be assigned to the endpoint now: one at a time
+    /// if it is suspect, none for a pause after each failure if it is failing.
     pub(crate) fn most_tasks(&self, now: Instant, is_idle: bool) -> u16 {
         if !self.health.is_suspect() {
             return u16::MAX;
         }
-        let rests =
+        let must_pause =
             self.health.is_failing() && self.failed_at.is_some_and(|at| now < at + FAILING_PAUSE);
-        u16::from(is_idle && !rests)
+        u16::from(is_idle && !must_pause)
     }
 
-    /// Returns whose turn among `entries` it is to try an endpoint that fails
-    /// nearly everything; none where each may.
+    /// Returns the position of the entry, among `entries` of them, that may try a
+    /// failing endpoint; none where every entry may use the endpoint.
     pub(crate) fn turn(&self, now: Instant, entries: usize) -> Option<usize> {
         let failed_at = self.failed_at.filter(|_| self.health.is_failing())?;
         let since = now.saturating_duration_since(failed_at).as_millis();
@@ -100,15 +101,15 @@
         Some((turns + self.failures) % entries.max(1))
     }
 
-    /// Notes that a run failed.
-    pub(crate) fn run_failed(&mut self, now: Instant) {
-        self.health.failed();
+    /// Records a failed run.
+    pub(crate) fn record_failed_run(&mut self, now: Instant) {
+        self.health.record_failure();
         self.failed_at = Some(now);
         self.failures += 1;
     }
 
-    /// Whether tasks may start.
+    /// Whether tasks may start at the endpoint.
     pub(crate) fn takes_work(&self, now: Instant) -> bool {
-        self.is_clean && !self.is_leaving && !self.is_superseded && self.is_heard(now)
+        self.is_clean && !self.is_leaving && !self.is_superseded && self.is_responsive(now)
     }
 }
--- a/crates/decisions/src/guard/entry_side.rs
+++ b/crates/decisions/src/guard/entry_side.rs
@@ -1,10 +1,10 @@
-//! What entries ask of the guard, and what it tells them.
+//! Links, assignments and revocations of entries, and the updates sent to them.
 
 use {
     crate::{
         guard::{
             GuardAction, GuardMachine, GuardMessage,
-            entry_state::{EntryState, RoomToTell},
+            entry_state::{EntryState, ReportedRoom},
             run::{Phase, Run, RunKey},
         },
         timing::millis,
@@ -33,17 +33,17 @@
         let is_of = |run: &&Run| run.key.entry == entry && run.key.incarnation == incarnation;
         let live = self.runs.iter().filter(is_of);
         let live = live.map(|run| (run.key.assignment, run.key.at)).collect();
-        let info = self.announced_info();
+        let info = self.clean_endpoint_info();
         let Some(state) = self.entries.get_mut(&entry) else {
             return;
         };
         state.is_linked = true;
         state.is_stale = true;
-        state.told = None;
+        state.last_report = None;
         let resync = Resync {
             info,
             live,
-            ends: state.recent(),
+            ends: state.resync_ends(),
         };
         self.actions
             .push(GuardAction::Send(entry, GuardMessage::Resync(resync)));
@@ -55,7 +55,7 @@
         }
     }
 
-    pub(super) fn proven(&mut self, entry: &EntryId, at: Instant) {
+    pub(super) fn record_entry_proof(&mut self, entry: &EntryId, at: Instant) {
         if let Some(state) = self.entries.get_mut(entry) {
             state.proven_at = state.proven_at.max(Some(at));
         }
@@ -66,7 +66,7 @@
             return;
         };
         let incarnation = state.incarnation;
-        state.seen = state.seen.max(assignment.id);
+        state.last_assignment = state.last_assignment.max(assignment.id);
         self.next_run = self.next_run.max(assignment.after_run + 1);
         let start_by = now + assignment.start_within;
         for assigned in assignment.tasks {
@@ -91,8 +91,8 @@
                 percent: 0,
                 progressed_at: None,
                 stop_sent_at: None,
-                stop_again_at: None,
-                end_as: EndKind::NotStarted,
+                resend_stop_at: None,
+                end_kind: EndKind::NotStarted,
             });
         }
         self.stop_older_attempts(now, entry, assignment.id);
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Stops runs of the same tasks that another assignment started: their
-    /// caller submitted the job again.
+    /// Stops other runs of the tasks in an assignment: their caller submitted the
+    /// job again.
     pub(super) fn stop_older_attempts(&mut self, now: Instant, entry: &EntryId, assignment: u64) {
         let incarnation = self.entries.get(entry).map(|state| state.incarnation);
         let is_new = |run: &Run| {
@@ -119,27 +119,27 @@
             .collect();
         let older = self
             .runs
-            .keys(|run| !is_new(run) && tasks.contains(&run.task));
+            .keys_where(|run| !is_new(run) && tasks.contains(&run.task));
         for key in older {
-            self.stop(now, &key, EndKind::Stopped, "submitted-again");
+            self.stop_run(now, &key, EndKind::Stopped, "submitted-again");
         }
     }
 
     pub(super) fn revoke(&mut self, now: Instant, entry: &EntryId, revocation: &Revocation) {
         let incarnation = self.entries.get(entry).map(|state| state.incarnation);
-        let revoked = self.runs.keys(|run| {
+        let revoked = self.runs.keys_where(|run| {
             run.key.entry == *entry
                 && Some(run.key.incarnation) == incarnation
                 && revocation.assignments.contains(&run.key.assignment)
         });
         for key in revoked {
-            self.stop(now, &key, EndKind::Stopped, "revoked");
+            self.stop_run(now, &key, EndKind::Stopped, "revoked");
         }
     }
 
-    /// Drops what an entry assigned: it is dead, or replaced.
+    /// Stops the tasks of an entry that is dead or was replaced.
     pub(super) fn drop_entry(&mut self, now: Instant, entry: &EntryId) {
-        let keys = self.runs.keys(|run| run.key.entry == *entry);
+        let keys = self.runs.keys_where(|run| run.key.entry == *entry);
         if let Some(state) = self.entries.get(entry)
             && !keys.is_empty()
         {
@@ -149,20 +149,21 @@
                 tasks: keys.len(),
                 proof_age_ms: millis(now.saturating_duration_since(proven_at)),
             };
-            self.note(note);
+            self.record_decision(note);
         }
         for key in keys {
-            self.stop(now, &key, EndKind::Stopped, "entry-lost");
+            self.stop_run(now, &key, EndKind::Stopped, "entry-lost");
         }
     }
 
-    /// Ends a task that is certainly not at the endpoint, and tells its entry.
-    pub(super) fn finish(&mut self, now: Instant, key: &RunKey, kind: EndKind) {
+    /// Removes a task that certainly does not run at the endpoint, and queues its
+    /// end for its entry.
+    pub(super) fn finish_run(&mut self, now: Instant, key: &RunKey, kind: EndKind) {
         let Some(run) = self.runs.remove(key) else {
             return;
         };
-        let end = run.end(now, kind);
-        self.note(DecisionNote::TaskEnded {
+        let end = run.task_end(now, kind);
+        self.record_decision(DecisionNote::TaskEnded {
             job: run.task.job.clone(),
             task: run.task.at,
             run: run.number,
@@ -171,54 +172,55 @@
         });
         let entry = self.entries.get_mut(&key.entry);
         if let Some(entry) = entry.filter(|state| state.incarnation == key.incarnation) {
-            entry.ended(now, end);
+            entry.record_end(now, end);
         }
         self.mark_stale();
     }
 
+    /// Returns the waiting tasks to their entries as not started.
     pub(super) fn return_waiting(&mut self, now: Instant) {
         for key in self.runs.waiting() {
-            self.finish(now, &key, EndKind::NotStarted);
+            self.finish_run(now, &key, EndKind::NotStarted);
         }
     }
 
-    pub(super) fn report(&mut self, now: Instant) {
+    pub(super) fn send_updates(&mut self, now: Instant) {
         let room_of = self.room_by_position(now);
         let zone = self.zone();
         for (position, (entry, state)) in self.entries.iter_mut().enumerate() {
             let room = room_of(position);
             let is_due = state
-                .report_at(now, &zone, room)
+                .report_due_at(now, &zone, room)
                 .is_some_and(|at| at <= now);
-            if !state.is_linked || (state.news.is_empty() && !is_due) {
+            if !state.is_linked || (state.unsent_ends.is_empty() && !is_due) {
                 continue;
             }
             state.is_stale = false;
-            state.told = Some((now, room));
+            state.last_report = Some((now, room));
             let update = AgentUpdate {
                 free: room.free,
                 most_tasks: room.most_tasks,
                 slowness: room.slowness,
-                seen: state.seen,
-                ends: std::mem::take(&mut state.news),
+                seen: state.last_assignment,
+                ends: std::mem::take(&mut state.unsent_ends),
             };
             let message = GuardMessage::Update(update);
             self.actions.push(GuardAction::Send(entry.clone(), message));
         }
     }
 
-    /// Returns what to tell each entry of the room, by its position.
-    pub(super) fn room_by_position(&self, now: Instant) -> impl Fn(usize) -> RoomToTell + use<> {
+    /// Returns a function from an entry's position to the room reported to it.
+    pub(super) fn room_by_position(&self, now: Instant) -> impl Fn(usize) -> ReportedRoom + use<> {
         let room = self.room(now);
         let endpoint = self.endpoint.as_ref();
         let turn = endpoint.and_then(|endpoint| endpoint.turn(now, self.entries.len()));
         move |position| room.in_turn(turn.is_none_or(|turn| turn == position))
     }
 
-    /// Returns the room that is free, how many tasks may come, and the slowness.
-    fn room(&self, now: Instant) -> RoomToTell {
+    /// Returns the endpoint's free room, its task limit and its slowness.
+    fn room(&self, now: Instant) -> ReportedRoom {
         let Some(endpoint) = &self.endpoint else {
-            return RoomToTell {
+            return ReportedRoom {
                 free: Room::default(),
                 most_tasks: 0,
                 slowness: 1.0,
@@ -229,14 +231,14 @@
         } else {
             0
         };
-        RoomToTell {
-            free: endpoint.info.total.minus(self.runs.claimed()),
+        ReportedRoom {
+            free: endpoint.info.total.minus(self.runs.claimed_room()),
             most_tasks,
             slowness: endpoint.health.slowness(),
         }
     }
 
-    /// Returns the availability zone of the endpoint.
+    /// Returns the availability zone of the endpoint; empty without an endpoint.
     pub(super) fn zone(&self) -> ZoneId {
         self.endpoint
             .as_ref()
--- a/crates/decisions/src/guard/entry_state.rs
+++ b/crates/decisions/src/guard/entry_state.rs
@@ -1,4 +1,4 @@
-//! What an agent knows of one entry.
+//! State that an agent keeps for each entry.
 
 use {
     crate::timing::{OTHER_ZONE_REPORT_INTERVAL, REPORT_INTERVAL},
@@ -9,20 +9,20 @@
     },
 };
 
-/// How long ends are kept for an entry whose link is replaced: longer than an
-/// entry without a link keeps its tasks.
+/// How long ended tasks are kept for an entry that links again: longer than an
+/// entry keeps its tasks without a link to the agent.
 const ENDS_KEPT: Duration = Duration::from_secs(3);
 
-/// What an agent tells of its room.
+/// Free room, task limit and slowness that an agent reports to an entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct RoomToTell {
+pub(crate) struct ReportedRoom {
     pub(crate) free: Room,
     pub(crate) most_tasks: u16,
     pub(crate) slowness: f32,
 }
 
-impl RoomToTell {
-    /// Returns the same without tasks for an entry whose turn it is not.
+impl ReportedRoom {
+    /// Returns the report with a task limit of 0 unless it is the entry's turn.
     pub(crate) fn in_turn(self, is_in_turn: bool) -> Self {
         Self {
             most_tasks: if is_in_turn { self.most_tasks } else { 0 },
@@ -31,7 +31,7 @@
     }
 }
 
-/// What an agent knows of one entry.
+/// State that an agent keeps for one entry.
 #[derive(Debug)]
 pub(crate) struct EntryState {
     pub(crate) incarnation: Incarnation,
@@ -39,15 +39,16 @@
     pub(crate) is_linked: bool,
     /// The entry was alive at this moment or later.
     pub(crate) proven_at: Option<Instant>,
-    /// Newest assignment that was read.
-    pub(crate) seen: AssignmentId,
-    /// Whether the entry does not know the present room.
+    /// Highest id of the assignments that were received.
+    pub(crate) last_assignment: AssignmentId,
+    /// Whether the room may have changed since the last report.
     pub(crate) is_stale: bool,
-    /// The last update, and when it was sent.
-    pub(crate) told: Option<(Instant, RoomToTell)>,
-    /// Ends that the entry was not told yet.
-    pub(crate) news: Vec<TaskEnd>,
-    recent: VecDeque<(Instant, TaskEnd)>,
+    /// When the last update was sent, and the room that it reported.
+    pub(crate) last_report: Option<(Instant, ReportedRoom)>,
+    /// Ended tasks that no update has reported yet.
+    pub(crate) unsent_ends: Vec<TaskEnd>,
+    /// Recently ended tasks, kept for at least `ENDS_KEPT`, and when they ended.
+    recent_ends: VecDeque<(Instant, TaskEnd)>,
 }
 
 impl EntryState {
@@ -57,15 +58,15 @@
             zone,
             is_linked: true,
             proven_at: None,
-            seen: 0,
+            last_assignment: 0,
             is_stale: true,
-            told: None,
-            news: Vec::new(),
-            recent: VecDeque::new(),
+            last_report: None,
+            unsent_ends: Vec::new(),
+            recent_ends: VecDeque::new(),
         }
     }
 
-    /// Whether the entry was alive within a limit.
+    /// Whether the entry was proven alive within `limit` before `now`.
     pub(crate) fn is_proven(&self, now: Instant, limit: Duration) -> bool {
         self.proven_at.is_some_and(|at| now <= at + limit)
     }
@@ -73,18 +74,18 @@
     /// Returns when an update without ended tasks is due; none where the room
     /// changed too little to matter.
     ///
-    /// A quarter of the present room is what one job more or less makes where
-    /// there is little, and what changes no choice where there is much.
-    pub(crate) fn report_at(
+    /// A change matters from a quarter of the free room on: with little room that
+    /// is one job, and with much room a smaller change affects no placement.
+    pub(crate) fn report_due_at(
         &self,
         now: Instant,
         own_zone: &ZoneId,
-        room: RoomToTell,
+        room: ReportedRoom,
     ) -> Option<Instant> {
         if !self.is_linked || !self.is_stale {
             return None;
         }
-        let Some((told_at, told)) = self.told else {
+        let Some((reported_at, reported)) = self.last_report else {
             return Some(now);
         };
         let interval = if self.zone == *own_zone {
@@ -94,27 +95,28 @@
         };
         let free = room.free.cpu_millis;
         let least = free.div_ceil(4).max(1);
-        let is_significant =
-            told.most_tasks != room.most_tasks || told.free.cpu_millis.abs_diff(free) >= least;
-        is_significant.then(|| told_at + interval)
+        let is_significant = reported.most_tasks != room.most_tasks
+            || reported.free.cpu_millis.abs_diff(free) >= least;
+        is_significant.then(|| reported_at + interval)
     }
 
-    /// Notes the end of one of the entry's tasks.
-    pub(crate) fn ended(&mut self, now: Instant, end: TaskEnd) {
+    /// Queues the end of one of the entry's tasks for the next update.
+    pub(crate) fn record_end(&mut self, now: Instant, end: TaskEnd) {
         while self
-            .recent
+            .recent_ends
             .front()
             .is_some_and(|(at, _)| *at + ENDS_KEPT < now)
         {
-            self.recent.pop_front();
+            self.recent_ends.pop_front();
         }
-        self.recent.push_back((now, end));
-        self.news.push(end);
+        self.recent_ends.push_back((now, end));
+        self.unsent_ends.push(end);
     }
 
-    /// Returns the recent ends, whether they were told before or not.
-    pub(crate) fn recent(&mut self) -> Vec<TaskEnd> {
-        self.news.clear();
-        self.recent.iter().map(|(_, end)| *end).collect()
+    /// Returns all recent ends for a resync, reported before or not, and clears
+    /// the queue.
+    pub(crate) fn resync_ends(&mut self) -> Vec<TaskEnd> {
+        self.unsent_ends.clear();
+        self.recent_ends.iter().map(|(_, end)| *end).collect()
     }
 }
--- a/crates/decisions/src/guard/guard_machine.rs
+++ b/crates/decisions/src/guard/guard_machine.rs
@@ -1,4 +1,4 @@
-//! Guards one endpoint for all entries.
+//! State machine that controls one endpoint on behalf of all entries.
 
 use {
     crate::{
@@ -13,15 +13,15 @@
     std::time::Instant,
 };
 
-/// What the guard is told at its start.
+/// Settings of a [`GuardMachine`].
 #[derive(Clone, Copy, Debug)]
 pub struct GuardConf {
-    /// Lowest number of starts and fencing tokens: the wall clock in
-    /// milliseconds, so that numbers grow over runs of the agent.
+    /// First start number and fencing token: the wall clock in milliseconds, so
+    /// that numbers keep growing when the agent restarts.
     pub first_number: u64,
 }
 
-/// Guards one endpoint for all entries.
+/// Starts, tracks and stops tasks at one endpoint on behalf of all entries.
 #[derive(Debug)]
 pub struct GuardMachine {
     pub(super) token: FencingToken,
@@ -34,7 +34,7 @@
 }
 
 impl GuardMachine {
-    /// Creates a guard that knows no endpoint yet.
+    /// Creates a guard without an endpoint.
     #[must_use]
     pub fn new(conf: GuardConf) -> Self {
         Self {
@@ -48,35 +48,39 @@
         }
     }
 
-    /// Takes an input and returns what to do.
+    /// Processes an input and returns the resulting actions in order.
     pub fn handle(&mut self, now: Now, input: GuardInput) -> Vec<GuardAction> {
         let at = now.instant;
         match input {
-            GuardInput::Announced(announcement) => self.announced(at, announcement),
-            GuardInput::Ended(endpoint) => self.endpoint_ended(at, &endpoint),
+            GuardInput::Announced(announcement) => self.handle_announcement(at, announcement),
+            GuardInput::Ended(endpoint) => self.handle_endpoint_end(at, &endpoint),
             GuardInput::LinkUp(entry, incarnation, zone) => {
                 self.link_up(at, entry, incarnation, zone);
             }
             GuardInput::LinkDown(entry) => self.link_down(&entry),
-            GuardInput::Proven(entry, proven_at) => self.proven(&entry, proven_at),
+            GuardInput::Proven(entry, proven_at) => self.record_entry_proof(&entry, proven_at),
             GuardInput::Assign(entry, assignment) => self.assign(at, &entry, assignment),
             GuardInput::Revoke(entry, revocation) => self.revoke(at, &entry, &revocation),
-            GuardInput::Started(endpoint, run, answer) => self.started(at, endpoint, run, &answer),
-            GuardInput::Stopped(endpoint, run, answer) => self.stopped(at, endpoint, run, &answer),
+            GuardInput::Started(endpoint, run, answer) => {
+                self.handle_start_answer(at, endpoint, run, &answer);
+            }
+            GuardInput::Stopped(endpoint, run, answer) => {
+                self.handle_stop_answer(at, endpoint, run, &answer);
+            }
             GuardInput::Listed(endpoint, order, answer) => {
-                self.listed(at, endpoint, &order, answer);
+                self.handle_list_answer(at, endpoint, &order, answer);
             }
             GuardInput::Leave => self.leave(at),
             GuardInput::Tick => self.tick(at),
         }
         self.start_waiting(at);
-        self.poll(at);
-        self.look_if_due(at);
-        self.report(at);
+        self.send_long_poll(at);
+        self.send_immediate_list_if_due(at);
+        self.send_updates(at);
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether no task is left.
+    /// Whether no task waits or runs.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.runs.is_empty()
@@ -88,24 +92,24 @@
         self.runs.len()
     }
 
-    /// Whether the endpoint takes work.
+    /// Whether tasks may start at the endpoint.
     #[must_use]
     pub fn takes_work(&self, now: Instant) -> bool {
         let endpoint = self.endpoint.as_ref();
         !self.is_leaving && endpoint.is_some_and(|e| e.takes_work(now))
     }
 
-    /// Returns when an update that was held back is due, a task has waited long
-    /// enough, or a stop or a list is to be sent again.
+    /// Returns the next deadline: a delayed update, a task that has waited too
+    /// long, a stop that is sent again, or an immediate list.
     #[must_use]
     pub fn wake_at(&self, now: Instant) -> Option<Instant> {
         let room_of = self.room_by_position(now);
         let zone = self.zone();
         let entries = self.entries.values().enumerate();
-        let due = entries.filter_map(|(at, entry)| entry.report_at(now, &zone, room_of(at)));
+        let due = entries.filter_map(|(at, entry)| entry.report_due_at(now, &zone, room_of(at)));
         due.chain(self.runs.first_start_by())
-            .chain(self.runs.first_stop_again())
-            .chain(self.look_at(now))
+            .chain(self.runs.first_stop_resend())
+            .chain(self.immediate_list_at(now))
             .min()
     }
 
@@ -127,12 +131,15 @@
         }
         let late = self
             .runs
-            .keys(|run| matches!(run.phase, Phase::Waiting(by) if by <= now));
+            .keys_where(|run| matches!(run.phase, Phase::Waiting(by) if by <= now));
         for key in late {
-            self.finish(now, &key, EndKind::NotStarted);
+            self.finish_run(now, &key, EndKind::NotStarted);
         }
-        let is_unheard = self.endpoint.as_ref().is_some_and(|e| !e.is_heard(now));
-        if is_unheard {
+        let is_unresponsive = self
+            .endpoint
+            .as_ref()
+            .is_some_and(|e| !e.is_responsive(now));
+        if is_unresponsive {
             self.return_waiting(now);
             self.mark_stale();
         }
@@ -141,14 +148,14 @@
             .as_ref()
             .is_some_and(|e| e.health.is_failing());
         if is_failing {
-            // Whose turn it is to try the endpoint changes with time.
+            // The entry that may try a failing endpoint changes with time.
             self.mark_stale();
         }
-        self.stop_again(now);
-        self.lapse(now);
+        self.resend_refused_stops(now);
+        self.end_lapsed_runs(now);
     }
 
-    pub(super) fn note(&mut self, note: DecisionNote) {
+    pub(super) fn record_decision(&mut self, note: DecisionNote) {
         self.actions.push(GuardAction::Note(note));
     }
 
--- a/crates/decisions/src/guard/lists.rs
+++ b/crates/decisions/src/guard/lists.rs
@@ -1,4 +1,4 @@
-//! Orders that renew the lease and list, and their answers.
+//! List orders, which also renew the lease of the runs, and their answers.
 
 use {
     crate::{
@@ -16,64 +16,66 @@
 };
 
 impl GuardMachine {
-    pub(super) fn listed(
+    pub(super) fn handle_list_answer(
         &mut self,
         now: Instant,
         incarnation: Incarnation,
         order: &ListOrder,
         answer: Answer<ListReply>,
     ) {
-        let is_present = self.note_clock(now, incarnation, &answer);
+        let is_present = self.update_clock(now, incarnation, &answer);
         let Some(endpoint) = self.endpoint.as_mut().filter(|_| is_present) else {
             return;
         };
         if order.wait.is_zero() {
-            endpoint.lists.look = None;
+            endpoint.lists.immediate_sent_at = None;
         } else {
-            endpoint.lists.poll = false;
+            endpoint.lists.long_poll = false;
         }
         match answer {
             Answer::Done(_, reply) => {
-                self.note_list(now, order.sent_at, &reply);
+                self.apply_list(now, order.sent_at, &reply);
             }
             Answer::Refused(_, OrderFault::StaleToken) => self.token += NUMBER_STEP,
             Answer::Refused(_, OrderFault::OtherIncarnation) if !endpoint.is_superseded => {
-                self.shut_out_late_orders(now);
+                self.fence_late_orders(now);
+            }
+            Answer::Refused(..) => endpoint.lists_paused_until = Some(now + REFUSED_PAUSE),
+            // The pause counts from the send time: it is over after a time-out.
+            Answer::Unknown => {
+                endpoint.lists_paused_until = Some(order.sent_at + BROKEN_CONNECTION_PAUSE);
             }
-            Answer::Refused(..) => endpoint.poll_after = Some(now + REFUSED_PAUSE),
-            // After a time-out that moment is over already.
-            Answer::Unknown => endpoint.poll_after = Some(order.sent_at + BROKEN_CONNECTION_PAUSE),
         }
     }
 
-    /// Has a later incarnation that has not announced itself refuse orders that
-    /// were sent to the earlier one and are still under way.
-    fn shut_out_late_orders(&mut self, now: Instant) {
+    /// Sends a list with a higher token to a later incarnation that has not
+    /// announced itself, so that it refuses delayed orders to the earlier one.
+    fn fence_late_orders(&mut self, now: Instant) {
         let Some(endpoint) = &mut self.endpoint else {
             return;
         };
         endpoint.is_superseded = true;
-        endpoint.poll_after = Some(now + REFUSED_PAUSE);
+        endpoint.lists_paused_until = Some(now + REFUSED_PAUSE);
         self.token += NUMBER_STEP;
         self.return_waiting(now);
         self.mark_stale();
-        self.list(now, Duration::ZERO);
+        self.send_list_order(now, Duration::ZERO);
     }
 
-    pub(super) fn note_list(&mut self, now: Instant, asked_at: Instant, reply: &ListReply) {
+    pub(super) fn apply_list(&mut self, now: Instant, asked_at: Instant, reply: &ListReply) {
         for end in &reply.ended {
-            self.note_end(now, end);
+            self.apply_end(now, end);
         }
         for listed in &reply.running {
-            match self.runs.numbered(listed.run) {
+            match self.runs.get_by_number_mut(listed.run) {
                 Some(run) => {
-                    run.note_progress(now, listed.percent);
+                    run.record_progress(now, listed.percent);
                     if run.phase == Phase::Starting {
                         run.phase = Phase::Running;
-                        run.end_as = EndKind::Stopped;
+                        run.end_kind = EndKind::Stopped;
                     }
                 }
-                None => self.order_foreign_stop(now, listed.task.clone(), listed.run),
+                None => self.send_foreign_stop_order(now, listed.task.clone(), listed.run),
             }
         }
         self.finish_unlisted(now, asked_at, reply);
@@ -81,129 +83,133 @@
         let is_clean = reply
             .running
             .iter()
-            .all(|l| self.runs.numbered(l.run).is_some());
+            .all(|l| self.runs.get_by_number_mut(l.run).is_some());
         let Some(endpoint) = &mut self.endpoint else {
             return;
         };
         if is_clean && !endpoint.is_clean {
             endpoint.is_clean = true;
             let info = endpoint.info.clone();
-            self.endpoint_news(&info, "usable");
-            self.tell_endpoint();
+            self.record_endpoint_event(&info, "usable");
+            self.send_endpoint_info();
             self.mark_stale();
         }
     }
 
-    pub(super) fn note_end(&mut self, now: Instant, end: &ListedEnd) {
+    pub(super) fn apply_end(&mut self, now: Instant, end: &ListedEnd) {
         let Some(endpoint) = &mut self.endpoint else {
             return;
         };
-        if end.number <= endpoint.seen {
+        if end.number <= endpoint.last_end {
             return;
         }
-        endpoint.seen = end.number;
-        let Some(run) = self.runs.numbered(end.run) else {
+        endpoint.last_end = end.number;
+        let Some(run) = self.runs.get_by_number_mut(end.run) else {
             return;
         };
         let key = run.key.clone();
         let kind = match end.how {
             RunEnd::Done => EndKind::Done,
             RunEnd::Failed => EndKind::Failed,
-            RunEnd::Stopped | RunEnd::Lapsed => run.end_as,
+            RunEnd::Stopped | RunEnd::Lapsed => run.end_kind,
         };
         let expected = run.assigned.expected.as_secs_f32().max(f32::MIN_POSITIVE);
-        let ratio = run.ran(now).as_secs_f32() / expected;
+        let ratio = run.run_time(now).as_secs_f32() / expected;
         match kind {
-            EndKind::Done => endpoint.health.completed(ratio),
-            EndKind::Failed | EndKind::Stalled => endpoint.run_failed(now),
+            EndKind::Done => endpoint.health.record_completion(ratio),
+            EndKind::Failed | EndKind::Stalled => endpoint.record_failed_run(now),
             EndKind::NotStarted | EndKind::Stopped => {}
         }
-        self.finish(now, &key, kind);
+        self.finish_run(now, &key, kind);
     }
 
-    /// Finishes what a list that was asked for later does not show any more.
+    /// Finishes runs that a list, requested after their last known progress or
+    /// answered stop, no longer shows.
     pub(super) fn finish_unlisted(&mut self, now: Instant, asked_at: Instant, reply: &ListReply) {
         let is_listed = |number| reply.running.iter().any(|listed| listed.run == number);
-        let gone = self.runs.keys(|run| match run.phase {
+        let unlisted = self.runs.keys_where(|run| match run.phase {
             Phase::StopAnswered(at) => at < asked_at && !is_listed(run.number),
             Phase::Running => {
                 run.progressed_at.is_some_and(|at| at < asked_at) && !is_listed(run.number)
             }
             _ => false,
         });
-        for key in gone {
+        for key in unlisted {
             let kind = self
                 .runs
                 .get_mut(&key)
-                .map_or(EndKind::Stopped, |run| run.end_as);
-            self.finish(now, &key, kind);
+                .map_or(EndKind::Stopped, |run| run.end_kind);
+            self.finish_run(now, &key, kind);
         }
     }
 
-    /// Keeps one list order out that waits for ends.
-    pub(super) fn poll(&mut self, now: Instant) {
+    /// Sends a long poll unless one is unanswered or lists are paused.
+    pub(super) fn send_long_poll(&mut self, now: Instant) {
         let is_busy = !self.runs.is_empty();
         let Some(endpoint) = &mut self.endpoint else {
             return;
         };
-        let must_pause = endpoint.poll_after.is_some_and(|at| now < at);
-        if endpoint.lists.poll || must_pause {
+        let must_pause = endpoint.lists_paused_until.is_some_and(|at| now < at);
+        if endpoint.lists.long_poll || must_pause {
             return;
         }
-        endpoint.lists.poll = true;
+        endpoint.lists.long_poll = true;
         let wait = match (is_busy, endpoint.is_clean) {
             (_, false) => LONG_POLL_WAIT / 4,
             (true, true) => LONG_POLL_WAIT,
             (false, true) => IDLE_LONG_POLL_WAIT,
         };
-        self.list(now, wait);
+        self.send_list_order(now, wait);
     }
 
-    /// Asks once for what runs, without a wait.
-    pub(super) fn look(&mut self, now: Instant) {
+    /// Sends an immediate list unless a recent one is unanswered.
+    pub(super) fn send_immediate_list(&mut self, now: Instant) {
         let Some(endpoint) = &mut self.endpoint else {
             return;
         };
-        let is_out = endpoint
+        let is_unanswered = endpoint
             .lists
-            .look
+            .immediate_sent_at
             .is_some_and(|at| now < at + IMMEDIATE_LIST_AFTER);
-        if !is_out {
-            endpoint.lists.look = Some(now);
-            self.list(now, Duration::ZERO);
+        if !is_unanswered {
+            endpoint.lists.immediate_sent_at = Some(now);
+            self.send_list_order(now, Duration::ZERO);
         }
     }
 
-    /// Returns when a list is due though one that waits is out; none of an
-    /// endpoint that has gone silent.
-    pub(super) fn look_at(&self, now: Instant) -> Option<Instant> {
+    /// Returns when an immediate list is due beside the long poll; none for an
+    /// endpoint without runs or without a recent answer.
+    pub(super) fn immediate_list_at(&self, now: Instant) -> Option<Instant> {
         let holds_runs = self.runs.iter().any(Run::is_at_endpoint);
         let endpoint = self.endpoint.as_ref();
-        let endpoint = endpoint.filter(|e| holds_runs && e.is_heard(now))?;
-        // After a refusal the pause goes first.
-        endpoint.lists.look_at().max(endpoint.poll_after)
+        let endpoint = endpoint.filter(|e| holds_runs && e.is_responsive(now))?;
+        // The pause after a refusal takes precedence.
+        endpoint
+            .lists
+            .immediate_list_at()
+            .max(endpoint.lists_paused_until)
     }
 
-    /// Asks what runs where the newest order to list may be lost.
-    pub(super) fn look_if_due(&mut self, now: Instant) {
-        if self.look_at(now).is_some_and(|at| at <= now) {
-            self.look(now);
+    /// Sends an immediate list when the last list order may be lost.
+    pub(super) fn send_immediate_list_if_due(&mut self, now: Instant) {
+        if self.immediate_list_at(now).is_some_and(|at| at <= now) {
+            self.send_immediate_list(now);
         }
     }
 
-    pub(super) fn list(&mut self, now: Instant, wait: Duration) {
+    pub(super) fn send_list_order(&mut self, now: Instant, wait: Duration) {
         let holds_runs = self.runs.iter().any(Run::is_at_endpoint);
         let Some(endpoint) = &mut self.endpoint else {
             return;
         };
-        endpoint.lists.sent_at = Some(now);
-        let until =
-            (holds_runs && endpoint.is_heard(now)).then(|| endpoint.clock.lease(now, RUN_LEASE));
+        endpoint.lists.last_sent_at = Some(now);
+        let until = (holds_runs && endpoint.is_responsive(now))
+            .then(|| endpoint.clock.extend_lease(now, RUN_LEASE));
         self.actions.push(GuardAction::List(ListOrder {
             endpoint: endpoint.info.endpoint.clone(),
             incarnation: endpoint.info.incarnation,
             until,
-            seen: endpoint.seen,
+            seen: endpoint.last_end,
             wait,
             token: self.token,
             sent_at: now,
--- a/crates/decisions/src/guard/messages.rs
+++ b/crates/decisions/src/guard/messages.rs
@@ -1,4 +1,4 @@
-//! Inputs and actions of the guard.
+//! Inputs and actions of the guard, and the orders to the endpoint.
 
 use {
     crate::guard::EndpointTime,
@@ -12,50 +12,49 @@
     },
 };
 
-/// Orders of a lower token are refused by an endpoint that saw a higher one.
+/// Token of an order; an endpoint that has received a higher token refuses it.
 pub type FencingToken = u64;
 
 /// Position of an end in the list of an endpoint's ends, from 1.
 pub type EndNumber = u64;
 
-/// What an endpoint says of itself.
+/// State that an endpoint announces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Announcement {
-    /// The endpoint.
+    /// Identity, labels and capacity of the endpoint.
     pub info: EndpointInfo,
-    /// Its clock.
+    /// The endpoint's clock when it sent the announcement.
     pub clock: EndpointTime,
-    /// Position among its announcements, which may arrive late.
+    /// Sequence number, since announcements may arrive late or out of order.
     pub sequence: u64,
-    /// Whether it leaves.
+    /// Whether the endpoint is shutting down.
     pub leaving: bool,
 }
 
-/// What the guard takes.
+/// Inputs of the guard.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GuardInput {
     /// The endpoint announced itself.
     Announced(Announcement),
-    /// The endpoint said that it ended.
+    /// The endpoint reported its end.
     Ended(EndpointId),
-    /// A link to a run of an entry opened.
+    /// A link to an incarnation of an entry in an availability zone opened.
     LinkUp(EntryId, Incarnation, ZoneId),
     /// The link to an entry closed.
     LinkDown(EntryId),
-    /// An entry was alive at a moment.
+    /// An entry was alive at this moment or later.
     Proven(EntryId, Instant),
     /// An entry assigns tasks.
     Assign(EntryId, Assignment),
-    /// An entry takes assignments back.
+    /// An entry revokes assignments.
     Revoke(EntryId, Revocation),
     /// The endpoint answered a start.
     Started(Incarnation, RunNumber, Answer<()>),
     /// The endpoint answered a stop.
     Stopped(Incarnation, RunNumber, Answer<()>),
-    /// The endpoint answered a list order, or did not; with the moment at
-    /// which the order was sent.
+    /// The endpoint answered a list order, or the order failed.
     Listed(Incarnation, ListOrder, Answer<ListReply>),
-    /// The agent is told to stop.
+    /// The agent must shut down.
     Leave,
     /// Time passed.
     Tick,
@@ -64,24 +63,24 @@
 /// Why an endpoint did not carry out an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderFault {
-    /// A higher token was used before.
+    /// The endpoint has received a higher token.
     StaleToken,
-    /// A run of that number or a higher one ended or was stopped there.
+    /// A run with the same number or a higher one was already stopped or ended.
     OldRun,
-    /// The lease that the order carries was over.
+    /// The lease that the order carries had already ended.
     LeaseOver,
-    /// There is no room.
+    /// The endpoint has too little free room.
     NoRoom,
-    /// The endpoint is unwell; it did nothing.
+    /// The endpoint is unhealthy or unreachable; it did not carry out the order.
     Unwell,
-    /// Another run of the endpoint answered.
+    /// Another incarnation of the endpoint answered.
     OtherIncarnation,
-    /// The endpoint does not take the order as valid.
+    /// The endpoint rejected the order as invalid.
     Invalid,
 }
 
 impl OrderFault {
-    /// Returns the name of the fault, as it is written down and counted.
+    /// Returns the name of the fault in logs and metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -96,45 +95,45 @@
     }
 }
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer<T> {
-    /// It was carried out, at this time of the endpoint's clock.
+    /// The endpoint carried out the order at this time of its clock.
     Done(EndpointTime, T),
-    /// It was not carried out; with the endpoint's clock where it was told.
+    /// The order was not carried out; with the endpoint's clock if known.
     Refused(Option<EndpointTime>, OrderFault),
-    /// No answer came: it may be carried out, also later.
+    /// No answer arrived: the order may have been carried out or may still be.
     Unknown,
 }
 
 /// How a run ended, as the endpoint lists it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunEnd {
-    /// To its end.
+    /// The run completed.
     Done,
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was stopped.
+    /// A stop order ended the run.
     Stopped,
-    /// The lease lapsed, or what it depended on ended.
+    /// The lease lapsed, or something that the run depended on ended.
     Lapsed,
 }
 
-/// A run that goes on, as the endpoint lists it.
+/// A run in progress, as the endpoint lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedRun {
     /// The task.
     pub task: TaskId,
     /// Number of the start.
     pub run: RunNumber,
-    /// Share of the work that is done, in percent.
+    /// Progress in percent.
     pub percent: u32,
 }
 
 /// A run that ended, as the endpoint lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEnd {
-    /// Position in the list.
+    /// Position in the endpoint's list of ended runs.
     pub number: EndNumber,
     /// The task.
     pub task: TaskId,
@@ -144,16 +143,16 @@
     pub how: RunEnd,
 }
 
-/// What runs at an endpoint and what ended there.
+/// Runs in progress and ended runs of an endpoint.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ListReply {
-    /// What runs.
+    /// Runs in progress.
     pub running: Vec<ListedRun>,
-    /// What ended, beyond what the order had seen.
+    /// Ended runs with numbers above [`ListOrder::seen`].
     pub ended: Vec<ListedEnd>,
 }
 
-/// Starts a run.
+/// Order to start a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartOrder {
     /// The endpoint that is meant.
@@ -174,7 +173,7 @@
     pub answer_by: Instant,
 }
 
-/// Stops a run.
+/// Order to stop a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StopOrder {
     /// The endpoint that is meant.
@@ -191,16 +190,16 @@
     pub answer_by: Instant,
 }
 
-/// Renews the lease and asks for what runs and what ended.
+/// Order to list running and ended runs, which also renews the lease.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListOrder {
     /// The endpoint that is meant.
     pub endpoint: EndpointId,
     /// Run of the endpoint that is meant.
     pub incarnation: Incarnation,
-    /// End of the lease, on the endpoint's clock; none leaves it as it is.
+    /// End of the lease, on the endpoint's clock; none leaves the lease unchanged.
     pub until: Option<EndpointTime>,
-    /// Ends up to here need not be listed again.
+    /// Number of the last processed end; the reply lists only later ones.
     pub seen: EndNumber,
     /// How long the endpoint may wait for an end before it answers.
     pub wait: Duration,
@@ -215,15 +214,15 @@
 /// A message to an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GuardMessage {
-    /// What the agent knows of the entry's tasks.
+    /// Live and recently ended tasks of the entry, sent when a link opens.
     Resync(Resync),
-    /// The endpoint changed.
+    /// The endpoint changed; none while no endpoint is usable.
     Endpoint(Option<EndpointInfo>),
-    /// Room and ends.
+    /// Free room, task limit and ended tasks.
     Update(AgentUpdate),
 }
 
-/// What the guard wants done.
+/// Actions that the guard requests from its front end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GuardAction {
     /// Send a message to an entry.
@@ -232,8 +231,8 @@
     Start(StartOrder),
     /// Stop a run.
     Stop(StopOrder),
-    /// Renew the lease and list.
+    /// List the runs and renew their lease.
     List(ListOrder),
-    /// Write down a decision.
+    /// Write a decision to the log.
     Note(DecisionNote),
 }
--- a/crates/decisions/src/guard/mod.rs
+++ b/crates/decisions/src/guard/mod.rs
@@ -1,4 +1,5 @@
-//! The agent's side of best-effort jobs: guards one endpoint for all entries.
+//! The agent's side of best-effort jobs: controls one endpoint on behalf of all
+//! entries.
 
 mod endpoint_clock;
 mod endpoint_side;
--- a/crates/decisions/src/guard/run.rs
+++ b/crates/decisions/src/guard/run.rs
@@ -1,4 +1,4 @@
-//! One task that an entry assigned.
+//! A task that an entry assigned.
 
 use {
     chestnutrun_types::{
@@ -11,32 +11,34 @@
     },
 };
 
-/// Where a task stands.
+/// Progress of a task from its assignment to the answer of its stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
-    /// It waits for room until a moment.
+    /// The task waits for room; it is returned if it has not started by this
+    /// moment.
     Waiting(Instant),
-    /// Its start was sent.
+    /// The start order was sent.
     Starting,
-    /// It runs.
+    /// The endpoint runs the task.
     Running,
-    /// Its stop was sent and has no answer yet.
+    /// The stop order was sent and has no successful answer yet.
     Stopping,
-    /// Its stop was answered at this moment; a later list tells that it is gone.
+    /// The stop was answered at this moment; the run is over once a list that was
+    /// requested later does not show it.
     StopAnswered(Instant),
 }
 
-/// What names an assigned task at the agent.
+/// Key of an assigned task at the agent.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct RunKey {
     pub(crate) entry: EntryId,
-    /// Run of the entry: each counts its assignments anew.
+    /// Incarnation of the entry, since each counts its assignments from the start.
     pub(crate) incarnation: Incarnation,
     pub(crate) assignment: AssignmentId,
     pub(crate) at: StepTask,
 }
 
-/// One task that an entry assigned.
+/// A task that an entry assigned, waiting or started.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub(crate) key: RunKey,
@@ -44,57 +46,59 @@
     pub(crate) assigned: AssignedTask,
     pub(crate) payload: Arc<str>,
     pub(crate) phase: Phase,
-    /// Number of the start; 0 while it waits.
+    /// Number of the start; 0 before the first one.
     pub(crate) number: RunNumber,
     pub(crate) assigned_at: Instant,
-    /// When its start was sent.
+    /// When the start order was sent.
     pub(crate) started_at: Option<Instant>,
-    /// Progress at the last change, and when that was seen.
+    /// Last listed progress.
     pub(crate) percent: u32,
+    /// When the progress last changed.
     pub(crate) progressed_at: Option<Instant>,
-    /// When its stop was sent last.
+    /// When the stop order was last sent.
     pub(crate) stop_sent_at: Option<Instant>,
-    /// When a stop that was refused is sent again.
-    pub(crate) stop_again_at: Option<Instant>,
-    /// How it is told to have ended once it is gone.
-    pub(crate) end_as: EndKind,
+    /// When a stop that was refused or broke is sent again.
+    pub(crate) resend_stop_at: Option<Instant>,
+    /// Kind of end to report once the run is no longer listed.
+    pub(crate) end_kind: EndKind,
 }
 
 impl Run {
-    /// Whether it may hold room at the endpoint.
+    /// Whether the run may hold room at the endpoint.
     pub(crate) fn is_at_endpoint(&self) -> bool {
         !matches!(self.phase, Phase::Waiting(_))
     }
 
-    /// Whether the endpoint is to end it.
+    /// Whether a stop was ordered for the run.
     pub(crate) fn is_stopping(&self) -> bool {
         matches!(self.phase, Phase::Stopping | Phase::StopAnswered(_))
     }
 
-    /// Returns when its stop is to be sent again, where it was put off.
-    pub(crate) fn stop_again_at(&self) -> Option<Instant> {
-        self.stop_again_at.filter(|_| self.phase == Phase::Stopping)
+    /// Returns when a delayed stop is sent again; none unless the run is stopping.
+    pub(crate) fn resend_stop_at(&self) -> Option<Instant> {
+        self.resend_stop_at
+            .filter(|_| self.phase == Phase::Stopping)
     }
 
-    /// Returns how long it has run.
-    pub(crate) fn ran(&self, now: Instant) -> Duration {
+    /// Returns the time since the start was sent; zero without a start.
+    pub(crate) fn run_time(&self, now: Instant) -> Duration {
         let started_at = self.started_at.unwrap_or(now);
         now.saturating_duration_since(started_at)
     }
 
-    /// Returns what its entry is told at its end.
-    pub(crate) fn end(&self, now: Instant, kind: EndKind) -> TaskEnd {
+    /// Returns the end of the task as it is reported to the entry.
+    pub(crate) fn task_end(&self, now: Instant, kind: EndKind) -> TaskEnd {
         TaskEnd {
             assignment: self.key.assignment,
             at: self.key.at,
             run: self.number,
             kind,
-            ran: self.ran(now),
+            ran: self.run_time(now),
         }
     }
 
-    /// Notes the progress that a list shows.
-    pub(crate) fn note_progress(&mut self, now: Instant, percent: u32) {
+    /// Records the progress shown by a list.
+    pub(crate) fn record_progress(&mut self, now: Instant, percent: u32) {
         if self.progressed_at.is_none() || percent != self.percent {
             self.percent = percent;
             self.progressed_at = Some(now);
--- a/crates/decisions/src/guard/runs.rs
+++ b/crates/decisions/src/guard/runs.rs
@@ -1,4 +1,4 @@
-//! The tasks that entries assigned and that have not ended.
+//! Assigned tasks that have not ended.
 
 use {
     crate::guard::run::{Phase, Run, RunKey},
@@ -7,7 +7,7 @@
     std::time::Instant,
 };
 
-/// The tasks that entries assigned and that have not ended.
+/// Assigned tasks that have not ended, by key and by number of the start.
 #[derive(Debug, Default)]
 pub(crate) struct Runs {
     by_key: IndexMap<RunKey, Run>,
@@ -31,13 +31,13 @@
         self.by_key.get_mut(key)
     }
 
-    pub(crate) fn numbered(&mut self, number: RunNumber) -> Option<&mut Run> {
+    pub(crate) fn get_by_number_mut(&mut self, number: RunNumber) -> Option<&mut Run> {
         let key = self.by_number.get(&number)?;
         self.by_key.get_mut(key)
     }
 
-    /// Gives a task the number of its start.
-    pub(crate) fn number(&mut self, key: &RunKey, number: RunNumber) {
+    /// Sets the number of a task's newest start.
+    pub(crate) fn assign_number(&mut self, key: &RunKey, number: RunNumber) {
         if let Some(run) = self.by_key.get_mut(key) {
             self.by_number.swap_remove(&run.number);
             run.number = number;
@@ -55,13 +55,13 @@
         self.by_key.values()
     }
 
-    /// Returns the keys of the tasks that a condition holds for.
-    pub(crate) fn keys(&self, holds: impl Fn(&Run) -> bool) -> Vec<RunKey> {
-        let matching = self.by_key.values().filter(|run| holds(run));
+    /// Returns the keys of the tasks that satisfy `condition`.
+    pub(crate) fn keys_where(&self, condition: impl Fn(&Run) -> bool) -> Vec<RunKey> {
+        let matching = self.by_key.values().filter(|run| condition(run));
         matching.map(|run| run.key.clone()).collect()
     }
 
-    /// Returns the keys of what waits, the one that can wait least first.
+    /// Returns the keys of the waiting tasks, earliest start deadline first.
     pub(crate) fn waiting(&self) -> Vec<RunKey> {
         let mut waiting: Vec<_> = self
             .by_key
@@ -75,13 +75,13 @@
         waiting.into_iter().map(|(_, key)| key.clone()).collect()
     }
 
-    /// Returns when the first of the stops that were put off is due.
-    pub(crate) fn first_stop_again(&self) -> Option<Instant> {
-        let due = self.iter().filter_map(Run::stop_again_at);
+    /// Returns when the first delayed stop is due.
+    pub(crate) fn first_stop_resend(&self) -> Option<Instant> {
+        let due = self.iter().filter_map(Run::resend_stop_at);
         due.min()
     }
 
-    /// Returns the moment at which the first waiting task has waited enough.
+    /// Returns the earliest start deadline of the waiting tasks.
     pub(crate) fn first_start_by(&self) -> Option<Instant> {
         let waiting = self.by_key.values().filter_map(|run| match run.phase {
             Phase::Waiting(start_by) => Some(start_by),
@@ -91,24 +91,24 @@
     }
 
     /// Returns the room that tasks hold at the endpoint.
-    pub(crate) fn held(&self) -> Room {
-        self.sum(Run::is_at_endpoint)
+    pub(crate) fn held_room(&self) -> Room {
+        self.sum_needs(Run::is_at_endpoint)
     }
 
-    /// Returns the room of all tasks, those that wait among them.
-    pub(crate) fn claimed(&self) -> Room {
-        self.sum(|_| true)
+    /// Returns the room of all tasks, including waiting ones.
+    pub(crate) fn claimed_room(&self) -> Room {
+        self.sum_needs(|_| true)
     }
 
-    /// Whether a run of the same task holds room under another key.
+    /// Whether another run of the same task may hold room at the endpoint.
     pub(crate) fn is_elsewhere(&self, task: &TaskId, key: &RunKey) -> bool {
         self.by_key
             .values()
             .any(|run| run.task == *task && run.key != *key && run.is_at_endpoint())
     }
 
-    fn sum(&self, holds: impl Fn(&Run) -> bool) -> Room {
-        let matching = self.by_key.values().filter(|run| holds(run));
+    fn sum_needs(&self, condition: impl Fn(&Run) -> bool) -> Room {
+        let matching = self.by_key.values().filter(|run| condition(run));
         matching.fold(Room::default(), |sum, run| sum.plus(run.assigned.need))
     }
 }
--- a/crates/decisions/src/guard/starts.rs
+++ b/crates/decisions/src/guard/starts.rs
@@ -1,4 +1,4 @@
-//! Starts of runs and their answers.
+//! Start orders and their answers.
 
 use {
     crate::{
@@ -13,7 +13,7 @@
 };
 
 impl GuardMachine {
-    pub(super) fn started(
+    pub(super) fn handle_start_answer(
         &mut self,
         now: Instant,
         endpoint: Incarnation,
@@ -33,15 +33,15 @@
             Answer::Done(..) => {
                 run.phase = Phase::Running;
                 run.progressed_at = Some(now);
-                run.end_as = EndKind::Stopped;
+                run.end_kind = EndKind::Stopped;
             }
             Answer::Unknown => {
-                self.note_refused_start(&key, "no-answer");
-                self.endpoint_failed();
-                self.stop(now, &key, EndKind::Stopped, "no-answer");
+                self.record_refused_start(&key, "no-answer");
+                self.record_endpoint_failure();
+                self.stop_run(now, &key, EndKind::Stopped, "no-answer");
             }
             Answer::Refused(_, fault) => {
-                self.note_refused_start(&key, fault.name());
+                self.record_refused_start(&key, fault.name());
                 self.start_refused(now, &key, *fault);
             }
         }
@@ -58,12 +58,12 @@
             }
             OrderFault::LeaseOver => {}
             OrderFault::Unwell | OrderFault::OtherIncarnation => {
-                self.endpoint_failed();
-                self.finish(now, key, EndKind::NotStarted);
+                self.record_endpoint_failure();
+                self.finish_run(now, key, EndKind::NotStarted);
                 return;
             }
             OrderFault::Invalid => {
-                self.finish(now, key, EndKind::Failed);
+                self.finish_run(now, key, EndKind::Failed);
                 return;
             }
         }
@@ -84,16 +84,16 @@
         if endpoint.full_until.is_some_and(|until| now < until) {
             return;
         }
-        let mut free = endpoint.info.total.minus(self.runs.held());
+        let mut free = endpoint.info.total.minus(self.runs.held_room());
         for key in self.runs.waiting() {
             if let Some(need) = self.startable(now, &key, free) {
-                self.start(now, &key, free);
+                self.start_run(now, &key, free);
                 free = free.minus(need);
             }
         }
     }
 
-    /// Returns what a waiting task needs, where it may start now.
+    /// Returns the room that a waiting task needs; none if it may not start now.
     pub(super) fn startable(&mut self, now: Instant, key: &RunKey, free: Room) -> Option<Room> {
         let entry = self.entries.get(&key.entry)?;
         if !entry.is_proven(now, ENTRY_PROOF_LIMIT) {
@@ -104,10 +104,10 @@
         (free.fits(need) && !self.runs.is_elsewhere(&task, key)).then_some(need)
     }
 
-    pub(super) fn start(&mut self, now: Instant, key: &RunKey, free: Room) {
+    pub(super) fn start_run(&mut self, now: Instant, key: &RunKey, free: Room) {
         let number = self.next_run;
         self.next_run += 1;
-        self.runs.number(key, number);
+        self.runs.assign_number(key, number);
         let (Some(run), Some(endpoint)) = (self.runs.get_mut(key), &mut self.endpoint) else {
             return;
         };
@@ -119,7 +119,7 @@
             task: run.task.clone(),
             run: number,
             payload: run.payload.clone(),
-            until: endpoint.clock.lease(now, RUN_LEASE),
+            until: endpoint.clock.extend_lease(now, RUN_LEASE),
             token: self.token,
             answer_by: now + START_TIMEOUT,
         }));
@@ -132,10 +132,10 @@
             waited_ms: millis(now.saturating_duration_since(run.assigned_at)),
             free_cpu_millis: free.cpu_millis,
         };
-        self.note(note);
+        self.record_decision(note);
     }
 
-    pub(super) fn note_refused_start(&mut self, key: &RunKey, reason: &'static str) {
+    pub(super) fn record_refused_start(&mut self, key: &RunKey, reason: &'static str) {
         if let Some(run) = self.runs.get_mut(key) {
             let note = DecisionNote::StartRefused {
                 job: run.task.job.clone(),
@@ -143,7 +143,7 @@
                 run: run.number,
                 reason: reason.into(),
             };
-            self.note(note);
+            self.record_decision(note);
         }
     }
 }
--- a/crates/decisions/src/guard/stops.rs
+++ b/crates/decisions/src/guard/stops.rs
@@ -1,4 +1,4 @@
-//! Stops of runs and their answers.
+//! Stop orders and their answers.
 
 use {
     crate::{
@@ -13,7 +13,7 @@
 };
 
 impl GuardMachine {
-    pub(super) fn stopped(
+    pub(super) fn handle_stop_answer(
         &mut self,
         now: Instant,
         endpoint: Incarnation,
@@ -29,65 +29,71 @@
         match answer {
             Answer::Done(..) if run.is_stopping() => {
                 run.phase = Phase::StopAnswered(now);
-                self.look(now);
+                self.send_immediate_list(now);
             }
             Answer::Done(..) => {}
             Answer::Refused(_, OrderFault::StaleToken) => {
                 self.token += NUMBER_STEP;
-                self.order_stop(now, &key);
+                self.send_stop_order(now, &key);
             }
-            Answer::Refused(..) => run.stop_again_at = Some(now + REFUSED_PAUSE),
+            Answer::Refused(..) => run.resend_stop_at = Some(now + REFUSED_PAUSE),
             Answer::Unknown => {
                 let again_at = run
                     .stop_sent_at
                     .map_or(now, |at| at + BROKEN_CONNECTION_PAUSE);
                 if now < again_at {
-                    run.stop_again_at = Some(again_at);
+                    run.resend_stop_at = Some(again_at);
                 } else {
-                    self.order_stop(now, &key);
+                    self.send_stop_order(now, &key);
                 }
             }
         }
     }
 
-    /// Ends a task: what waits at once, what runs by a stop.
-    pub(super) fn stop(&mut self, now: Instant, key: &RunKey, kind: EndKind, why: &'static str) {
+    /// Ends a waiting task at once, and sends a stop order for a started one.
+    pub(super) fn stop_run(
+        &mut self,
+        now: Instant,
+        key: &RunKey,
+        kind: EndKind,
+        reason: &'static str,
+    ) {
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
         match run.phase {
-            Phase::Waiting(_) => self.finish(now, key, EndKind::NotStarted),
+            Phase::Waiting(_) => self.finish_run(now, key, EndKind::NotStarted),
             Phase::Starting | Phase::Running => {
                 run.phase = Phase::Stopping;
-                run.end_as = kind;
+                run.end_kind = kind;
                 let note = DecisionNote::TaskStopped {
                     job: run.task.job.clone(),
                     task: run.task.at,
                     run: run.number,
-                    reason: why.into(),
+                    reason: reason.into(),
                     percent: run.percent,
                 };
-                self.note(note);
-                self.order_stop(now, key);
+                self.record_decision(note);
+                self.send_stop_order(now, key);
             }
             Phase::Stopping | Phase::StopAnswered(_) => {}
         }
     }
 
-    /// Sends stops again that were refused a while ago.
-    pub(super) fn stop_again(&mut self, now: Instant) {
+    /// Resends the stops whose pause after a refusal or broken connection is over.
+    pub(super) fn resend_refused_stops(&mut self, now: Instant) {
         let due = self
             .runs
-            .keys(|run| run.stop_again_at().is_some_and(|at| at <= now));
+            .keys_where(|run| run.resend_stop_at().is_some_and(|at| at <= now));
         for key in due {
             if let Some(run) = self.runs.get_mut(&key) {
-                run.stop_again_at = None;
+                run.resend_stop_at = None;
             }
-            self.order_stop(now, &key);
+            self.send_stop_order(now, &key);
         }
     }
 
-    pub(super) fn order_stop(&mut self, now: Instant, key: &RunKey) {
+    pub(super) fn send_stop_order(&mut self, now: Instant, key: &RunKey) {
         let (Some(run), Some(endpoint)) = (self.runs.get_mut(key), &self.endpoint) else {
             return;
         };
@@ -102,8 +108,8 @@
         }));
     }
 
-    /// Stops a run that this agent did not start or has given up.
-    pub(super) fn order_foreign_stop(&mut self, now: Instant, task: TaskId, run: RunNumber) {
+    /// Stops a run that this agent did not start or no longer tracks.
+    pub(super) fn send_foreign_stop_order(&mut self, now: Instant, task: TaskId, run: RunNumber) {
         if let Some(endpoint) = &self.endpoint {
             self.actions.push(GuardAction::Stop(StopOrder {
                 endpoint: endpoint.info.endpoint.clone(),
@@ -117,12 +123,12 @@
     }
 
     pub(super) fn stop_stalled(&mut self, now: Instant) {
-        let stalled = self.runs.keys(|run| {
+        let stalled = self.runs.keys_where(|run| {
             run.phase == Phase::Running
                 && run.progressed_at.is_some_and(|at| at + STALL_LIMIT < now)
         });
         for key in stalled {
-            self.stop(now, &key, EndKind::Stalled, "no-progress");
+            self.stop_run(now, &key, EndKind::Stalled, "no-progress");
         }
     }
 }
