--- a/crates/decisions/src/agent/agent_machine.rs
+++ b/crates/decisions/src/agent/agent_machine.rs
@@ -1,8 +1,8 @@
-//! The machine of one agent.
+//! State machine of one agent.
 
 use {
     crate::{
-        agent::{AgentAction, AgentInput, AgentMessage, FenceState, RecordBook, RunOutcome},
+        agent::{AgentAction, AgentInput, AgentMessage, FenceState, RunOutcome, TaskRecords},
         timing::CONFIRM_INTERVAL,
     },
     chestnutrun_types::{
@@ -14,21 +14,21 @@
     std::time::Instant,
 };
 
-/// Settings of an agent's machine.
+/// Settings of an [`AgentMachine`].
 #[derive(Clone, Copy, Debug)]
 pub struct AgentConf {
-    /// Shard whose owner may use the endpoint.
+    /// Shard whose owner may start tasks at the endpoint.
     pub shard: ShardId,
-    /// Slots of the endpoint.
+    /// Number of tasks that may run at the endpoint at once.
     pub slots: u32,
 }
 
-/// Guards one endpoint's slots and keeps the record of every start.
+/// Decides which starts one endpoint gets, and keeps a record of each start.
 #[derive(Debug)]
 pub struct AgentMachine {
     conf: AgentConf,
     fence: FenceState,
-    records: RecordBook,
+    records: TaskRecords,
     links: IndexSet<EntryId>,
     next_confirm_at: Option<Instant>,
     configuration: Revision,
@@ -43,7 +43,7 @@
         Self {
             conf,
             fence: FenceState::default(),
-            records: RecordBook::default(),
+            records: TaskRecords::default(),
             links: IndexSet::new(),
             next_confirm_at: None,
             configuration: 0,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes one input.
+    /// Processes an input and returns the resulting actions in order.
     pub fn handle(&mut self, now: Now, input: AgentInput) -> Vec<AgentAction> {
         match input {
             AgentInput::LinkUp(entry) => self.link_up(now, entry),
@@ -61,14 +61,14 @@
                 Vec::new()
             }
             AgentInput::Confirmed(entry, confirmation) => {
-                self.confirmed(now, &entry, &confirmation)
+                self.handle_confirmation(now, &entry, &confirmation)
             }
-            AgentInput::Fence(entry, fence) => self.fence(now, &entry, &fence),
-            AgentInput::Start(entry, start) => self.start(now, &entry, start),
-            AgentInput::Lookup(entry, lookup) => self.lookup(now, &entry, lookup),
-            AgentInput::Ran(task, outcome) => self.ran(&task, outcome),
+            AgentInput::Fence(entry, fence) => self.handle_fence(now, &entry, &fence),
+            AgentInput::Start(entry, start) => self.handle_start(now, &entry, start),
+            AgentInput::Lookup(entry, lookup) => self.handle_lookup(now, &entry, lookup),
+            AgentInput::Ran(task, outcome) => self.handle_run_outcome(&task, outcome),
             AgentInput::Configured { revision, draining } => {
-                self.configured(revision, draining);
+                self.apply_configuration(revision, draining);
                 Vec::new()
             }
             AgentInput::Leave => {
@@ -79,19 +79,19 @@
         }
     }
 
-    /// Returns how many tasks run.
+    /// Returns the number of running tasks.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.records.running()
     }
 
-    /// Returns how many jobs have records.
+    /// Returns the number of jobs with records.
     #[must_use]
     pub fn recorded_jobs(&self) -> usize {
         self.records.jobs()
     }
 
-    /// Returns the jobs of its records.
+    /// Returns the key hashes of the jobs with records.
     #[must_use]
     pub fn key_hashes(&self) -> Vec<KeyHash> {
         self.records.key_hashes()
@@ -103,22 +103,22 @@
         self.leaving
     }
 
-    /// Returns the revision of the configuration in force.
+    /// Returns the revision of the newest configuration that was applied.
     #[must_use]
     pub fn configuration(&self) -> Revision {
         self.configuration
     }
 
     fn link_up(&mut self, now: Now, entry: EntryId) -> Vec<AgentAction> {
-        self.fence.known_to(entry.clone());
+        self.fence.add_informed_entry(entry.clone());
         self.links.insert(entry.clone());
         vec![AgentAction::Send(
             entry,
-            AgentMessage::Confirm(self.question(now)),
+            AgentMessage::Confirm(self.confirm_request(now)),
         )]
     }
 
-    fn fence(&mut self, now: Now, entry: &EntryId, fence: &Fence) -> Vec<AgentAction> {
+    fn handle_fence(&mut self, now: Now, entry: &EntryId, fence: &Fence) -> Vec<AgentAction> {
         if fence.shard != self.conf.shard || !self.fence.raise(&fence.owner, fence.epoch) {
             return Vec::new();
         }
@@ -128,31 +128,31 @@
             running: self.records.running_records(),
             jobs: self.records.key_hashes(),
         };
-        let question = self.question(now);
+        let request = self.confirm_request(now);
         let send = |message| AgentAction::Send(entry.clone(), message);
         vec![
             send(AgentMessage::FenceReply(reply)),
-            send(AgentMessage::Confirm(question)),
+            send(AgentMessage::Confirm(request)),
         ]
     }
 
-    fn start(&mut self, now: Now, entry: &EntryId, start: Start) -> Vec<AgentAction> {
+    fn handle_start(&mut self, now: Now, entry: &EntryId, start: Start) -> Vec<AgentAction> {
         if let Some(record) = self.records.get(&start.task) {
-            return repeated(entry, &start, record);
+            return repeated_start_reply(entry, &start, record);
         }
-        if let Err(reason) = self.may_start(now, &start) {
-            return vec![refused(entry, &start, reason)];
+        if let Err(reason) = self.check_start(now, &start) {
+            return vec![refusal(entry, &start, reason)];
         }
-        self.records.start(now.instant, &start);
+        self.records.record_start(now.instant, &start);
         vec![AgentAction::Run(start)]
     }
 
-    fn may_start(&self, now: Now, start: &Start) -> Result<(), StartRefusal> {
+    fn check_start(&self, now: Now, start: &Start) -> Result<(), StartRefusal> {
         if start.shard != self.conf.shard {
             return Err(StartRefusal::StaleEpoch);
         }
-        self.fence.check(now.instant, start.epoch)?;
-        if self.records.is_forgone(start) {
+        self.fence.check_start(now.instant, start.epoch)?;
+        if self.records.is_voided(start) {
             return Err(StartRefusal::Forgone);
         }
         if self.leaving || self.draining {
@@ -167,12 +167,12 @@
         Ok(())
     }
 
-    fn lookup(&mut self, now: Now, entry: &EntryId, lookup: Lookup) -> Vec<AgentAction> {
-        let forgone = self.records.forgo(now.instant, &lookup);
+    fn handle_lookup(&mut self, now: Now, entry: &EntryId, lookup: Lookup) -> Vec<AgentAction> {
+        let voided = self.records.void_starts(now.instant, &lookup);
         let reply = LookupReply {
             records: self.records.of_job(&lookup.job),
             job: lookup.job,
-            forgone,
+            forgone: voided,
         };
         vec![AgentAction::Send(
             entry.clone(),
@@ -180,14 +180,14 @@
         )]
     }
 
-    fn ran(&mut self, task: &TaskRef, outcome: RunOutcome) -> Vec<AgentAction> {
+    fn handle_run_outcome(&mut self, task: &TaskRef, outcome: RunOutcome) -> Vec<AgentAction> {
         let outcome = match outcome {
             RunOutcome::Completed(output) => TaskOutcome::Completed(output),
             RunOutcome::Failed(error) => TaskOutcome::FailedWhileRunning(error),
             RunOutcome::Unknown => TaskOutcome::OutcomeUnknown,
             RunOutcome::NotStarted => return self.not_started(task),
         };
-        let Some(digest) = self.records.end(task, outcome.clone()) else {
+        let Some(digest) = self.records.record_end(task, outcome.clone()) else {
             return Vec::new();
         };
         let finished = Finished {
@@ -202,7 +202,7 @@
     }
 
     fn not_started(&mut self, task: &TaskRef) -> Vec<AgentAction> {
-        let Some((epoch, attempt)) = self.records.undo(task) else {
+        let Some((epoch, attempt)) = self.records.remove_unstarted(task) else {
             return Vec::new();
         };
         let Some(owner) = self.linked_owner() else {
@@ -220,7 +220,7 @@
         )]
     }
 
-    fn configured(&mut self, revision: Revision, draining: bool) {
+    fn apply_configuration(&mut self, revision: Revision, draining: bool) {
         if revision >= self.configuration {
             self.configuration = revision;
             self.draining = draining;
@@ -233,14 +233,14 @@
             return Vec::new();
         }
         self.next_confirm_at = Some(now.instant + CONFIRM_INTERVAL);
-        let question = self.question(now);
+        let request = self.confirm_request(now);
         self.confirm_targets()
             .into_iter()
-            .map(|entry| AgentAction::Send(entry, AgentMessage::Confirm(question.clone())))
+            .map(|entry| AgentAction::Send(entry, AgentMessage::Confirm(request.clone())))
             .collect()
     }
 
-    fn confirmed(
+    fn handle_confirmation(
         &mut self,
         now: Now,
         entry: &EntryId,
@@ -249,28 +249,29 @@
         if confirmation.shard != self.conf.shard {
             return Vec::new();
         }
-        let before = self.fence.leased(now.instant);
+        let before = self.fence.leased_epoch(now.instant);
         self.fence.confirm(entry, confirmation);
-        if self.fence.leased(now.instant) == before {
+        if self.fence.leased_epoch(now.instant) == before {
             return Vec::new();
         }
-        // The owner sends nothing before it knows of the lease.
-        let question = self.question(now);
+        // The owner sends no starts before it learns that the agent has a lease.
+        let request = self.confirm_request(now);
         vec![AgentAction::Send(
             entry.clone(),
-            AgentMessage::Confirm(question),
+            AgentMessage::Confirm(request),
         )]
     }
 
-    /// Opens a question for a confirmation.
-    fn question(&mut self, now: Now) -> Confirm {
+    /// Creates a request for a confirmation of the ownership.
+    fn confirm_request(&mut self, now: Now) -> Confirm {
         Confirm {
-            nonce: self.fence.ask(now.instant),
-            leased: self.fence.leased(now.instant),
+            nonce: self.fence.open_request(now.instant),
+            leased: self.fence.leased_epoch(now.instant),
         }
     }
 
-    /// Asks the known owner, or every entry where none is known or linked.
+    /// Returns the entries to ask for a confirmation: the owner, or every linked
+    /// entry where no owner is known or linked.
     fn confirm_targets(&self) -> Vec<EntryId> {
         match self.linked_owner() {
             Some(owner) => vec![owner],
@@ -286,10 +287,11 @@
     }
 }
 
-/// Answers a start of a task that has a record: nothing starts.
-fn repeated(entry: &EntryId, start: &Start, record: &TaskRecord) -> Vec<AgentAction> {
+/// Answers a repeated start from the record of the task, without starting it:
+/// nothing is sent while the task runs.
+fn repeated_start_reply(entry: &EntryId, start: &Start, record: &TaskRecord) -> Vec<AgentAction> {
     if record.digest != start.digest {
-        return vec![refused(entry, start, StartRefusal::KeyReused)];
+        return vec![refusal(entry, start, StartRefusal::KeyReused)];
     }
     let RecordState::Ended(outcome) = &record.state else {
         return Vec::new();
@@ -305,7 +307,7 @@
     )]
 }
 
-fn refused(entry: &EntryId, start: &Start, reason: StartRefusal) -> AgentAction {
+fn refusal(entry: &EntryId, start: &Start, reason: StartRefusal) -> AgentAction {
     let refused = StartRefused {
         task: start.task.clone(),
         epoch: start.epoch,
--- a/crates/decisions/src/agent/fence_state.rs
+++ b/crates/decisions/src/agent/fence_state.rs
@@ -1,4 +1,4 @@
-//! The newest ownership that an agent knows, and how long it is valid.
+//! The newest ownership that an agent knows, and its lease.
 
 use {
     crate::{membership::is_majority, timing::OWNERSHIP_LEASE},
@@ -7,18 +7,20 @@
     std::time::Instant,
 };
 
-/// Most questions that may wait for an answer.
-const MAX_OPEN_QUESTIONS: usize = 16;
+/// Limit of unanswered confirmation requests; the oldest is dropped beyond it.
+const MAX_OPEN_REQUESTS: usize = 16;
 
-/// Guards starts by the epoch and the lease of the owner.
+/// Checks starts against the owner's epoch and lease.
 #[derive(Debug, Default)]
 pub struct FenceState {
     epoch: Epoch,
     owner: Option<EntryId>,
     lease_until: Option<Instant>,
     next_nonce: Nonce,
-    asked_at: IndexMap<Nonce, Instant>,
-    known_to: IndexSet<EntryId>,
+    /// When each unanswered confirmation request was sent.
+    open_requests: IndexMap<Nonce, Instant>,
+    /// Entries that know of this agent.
+    informed_entries: IndexSet<EntryId>,
 }
 
 impl FenceState {
@@ -34,24 +36,27 @@
         self.owner.as_ref()
     }
 
-    /// Notes an entry that knows of this agent.
-    pub fn known_to(&mut self, entry: EntryId) {
-        self.known_to.insert(entry);
+    /// Records that an entry knows of this agent.
+    pub fn add_informed_entry(&mut self, entry: EntryId) {
+        self.informed_entries.insert(entry);
     }
 
-    /// Opens a question for a confirmation, asked at `at`.
-    pub fn ask(&mut self, at: Instant) -> Nonce {
+    /// Registers a confirmation request sent at `at`; returns its nonce.
+    pub fn open_request(&mut self, at: Instant) -> Nonce {
         self.next_nonce += 1;
-        if self.asked_at.len() >= MAX_OPEN_QUESTIONS {
-            self.asked_at.shift_remove_index(0);
+        if self.open_requests.len() >= MAX_OPEN_REQUESTS {
+            self.open_requests.shift_remove_index(0);
         }
-        self.asked_at.insert(self.next_nonce, at);
+        self.open_requests.insert(self.next_nonce, at);
         self.next_nonce
     }
 
-    /// Takes a confirmation: the lease runs from the moment of the question.
+    /// Applies a confirmation: the lease runs from the moment of the request.
+    ///
+    /// A confirmation extends no lease unless a majority of the owner's voters
+    /// know of this agent.
     pub fn confirm(&mut self, entry: &EntryId, confirmation: &Confirmation) {
-        let Some(asked_at) = self.asked_at.get(&confirmation.nonce).copied() else {
+        let Some(requested_at) = self.open_requests.get(&confirmation.nonce).copied() else {
             return;
         };
         if confirmation.epoch < self.epoch {
@@ -61,15 +66,16 @@
             self.raise(entry, confirmation.epoch);
         }
         let voters = &confirmation.voters;
-        if !voters.is_empty() && !is_majority(voters, &self.known_to) {
-            // A new owner might not learn of this agent.
+        if !voters.is_empty() && !is_majority(voters, &self.informed_entries) {
+            // Otherwise a later owner might not learn of this agent.
             return;
         }
-        let until = asked_at + OWNERSHIP_LEASE;
+        let until = requested_at + OWNERSHIP_LEASE;
         self.lease_until = self.lease_until.max(Some(until));
     }
 
-    /// Takes a newer epoch; the lease of the earlier one ends.
+    /// Switches to an owner unless its epoch is older than the known one; a newer
+    /// epoch ends the lease of the earlier one.
     ///
     /// Returns whether `epoch` is now the newest.
     pub fn raise(&mut self, entry: &EntryId, epoch: Epoch) -> bool {
@@ -84,9 +90,10 @@
         true
     }
 
-    /// Returns the ownership under which a start is allowed at `at`, if any.
+    /// Returns the epoch under which a start is allowed at `at`; none without a
+    /// valid lease.
     #[must_use]
-    pub fn leased(&self, at: Instant) -> Option<Epoch> {
+    pub fn leased_epoch(&self, at: Instant) -> Option<Epoch> {
         let is_valid = self.lease_until.is_some_and(|until| at < until);
         is_valid.then_some(self.epoch)
     }
@@ -94,12 +101,12 @@
     /// Checks whether a start under `epoch` is allowed at `at`.
     ///
     /// # Errors
-    /// Returns the reason for which it is not.
-    pub fn check(&self, at: Instant, epoch: Epoch) -> Result<(), StartRefusal> {
+    /// Returns an error if the epoch is not the newest or its lease has lapsed.
+    pub fn check_start(&self, at: Instant, epoch: Epoch) -> Result<(), StartRefusal> {
         if epoch != self.epoch {
             return Err(StartRefusal::StaleEpoch);
         }
-        match self.leased(at) {
+        match self.leased_epoch(at) {
             Some(_) => Ok(()),
             None => Err(StartRefusal::LeaseLapsed),
         }
--- a/crates/decisions/src/agent/messages.rs
+++ b/crates/decisions/src/agent/messages.rs
@@ -1,11 +1,11 @@
-//! Inputs and actions of an agent's machine.
+//! Inputs and actions of an agent's state machine.
 
 use chestnutrun_types::{
     Confirm, Confirmation, EntryId, Fence, FenceReply, Finished, Lookup, LookupReply, Revision,
     Start, StartRefused, TaskRef,
 };
 
-/// How a run at the endpoint ended.
+/// Outcome of a run at the endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum RunOutcome {
     /// The endpoint answered with an output.
@@ -18,7 +18,7 @@
     Unknown,
 }
 
-/// What an agent's machine takes.
+/// Inputs of an agent's state machine.
 #[derive(Clone, Debug)]
 pub enum AgentInput {
     /// A link to an entry opened, and that entry knows of this agent.
@@ -27,15 +27,15 @@
     LinkDown(EntryId),
     /// An entry confirmed its ownership.
     Confirmed(EntryId, Confirmation),
-    /// A new owner shuts out earlier ones.
+    /// A new owner fences earlier owners.
     Fence(EntryId, Fence),
-    /// An owner asks for a start.
+    /// An owner requests the start of a task.
     Start(EntryId, Start),
-    /// An owner asks for records.
+    /// An owner requests the records of a job, and may void starts.
     Lookup(EntryId, Lookup),
-    /// The endpoint ended a run.
+    /// A run at the endpoint ended.
     Ran(TaskRef, RunOutcome),
-    /// Operators drained the endpoint or returned it.
+    /// Operators drained the endpoint or returned it to service.
     Configured {
         /// Revision of the configuration.
         revision: Revision,
@@ -48,12 +48,12 @@
     Tick,
 }
 
-/// What an agent sends to an entry.
+/// Messages from an agent to an entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentMessage {
-    /// Which ownership is valid?
+    /// Requests a confirmation of the shard's ownership.
     Confirm(Confirm),
-    /// Earlier ownerships are shut out.
+    /// Earlier owners are fenced.
     FenceReply(FenceReply),
     /// A task did not start.
     StartRefused(StartRefused),
@@ -63,7 +63,7 @@
     LookupReply(LookupReply),
 }
 
-/// What an agent's machine asks its front end to do.
+/// Actions that an agent's state machine requests from its front end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AgentAction {
     /// Send a message to an entry.
--- a/crates/decisions/src/agent/mod.rs
+++ b/crates/decisions/src/agent/mod.rs
@@ -1,14 +1,14 @@
-//! Decisions of an agent: which starts its endpoint gets, and what is known of
-//! every start.
+//! Decisions of an agent: which starts its endpoint gets, and the records of
+//! these starts.
 
 mod agent_machine;
 mod fence_state;
 mod messages;
-mod record_book;
+mod task_records;
 
 pub use {
     agent_machine::{AgentConf, AgentMachine},
     fence_state::FenceState,
     messages::{AgentAction, AgentInput, AgentMessage, RunOutcome},
-    record_book::RecordBook,
+    task_records::TaskRecords,
 };
--- a/crates/decisions/src/agent/record_book.rs
+++ b/crates/decisions/src/agent/task_records.rs
@@ -1,4 +1,4 @@
-//! Records of every start on an endpoint.
+//! Records of the tasks started at an endpoint.
 
 use {
     crate::timing::RECORD_WINDOW,
@@ -10,56 +10,58 @@
     std::{collections::VecDeque, time::Instant},
 };
 
-/// Number of a start: its ownership, and which of the starts under it.
+/// Epoch of the ownership under which a start was sent, and its attempt number.
 pub type StartNumber = (Epoch, Attempt);
 
-/// What is known of the tasks of one job.
+/// Started tasks and voided starts of one job.
 #[derive(Debug, Default)]
 struct JobRecords {
     started: IndexMap<TaskIndex, (TaskRecord, StartNumber)>,
-    forgone: IndexMap<TaskIndex, StartNumber>,
+    /// The newest voided start of each task.
+    voided: IndexMap<TaskIndex, StartNumber>,
 }
 
-/// The records, by job, until their deadlines.
+/// Records of started tasks, by job, kept for `RECORD_WINDOW`.
 #[derive(Debug, Default)]
-pub struct RecordBook {
+pub struct TaskRecords {
     jobs: IndexMap<JobRef, JobRecords>,
+    /// When the records of each job expire, earliest first.
     deadlines: VecDeque<(Instant, JobRef)>,
     running: u32,
 }
 
-impl RecordBook {
-    /// Returns how many tasks run.
+impl TaskRecords {
+    /// Returns the number of running tasks.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Returns how many jobs have records.
+    /// Returns the number of jobs with records.
     #[must_use]
     pub fn jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Returns the record of a start.
+    /// Returns the record of a task.
     #[must_use]
     pub fn get(&self, task: &TaskRef) -> Option<&TaskRecord> {
         let job = self.jobs.get(&task.job())?;
         job.started.get(&task.index).map(|(record, _)| record)
     }
 
-    /// Whether the agent promised never to carry out the start.
+    /// Whether the start was voided: the agent promised never to carry it out.
     #[must_use]
-    pub fn is_forgone(&self, start: &Start) -> bool {
-        let promised = self
+    pub fn is_voided(&self, start: &Start) -> bool {
+        let voided = self
             .jobs
             .get(&start.task.job())
-            .and_then(|job| job.forgone.get(&start.task.index));
-        promised.is_some_and(|number| *number >= (start.epoch, start.attempt))
+            .and_then(|job| job.voided.get(&start.task.index));
+        voided.is_some_and(|number| *number >= (start.epoch, start.attempt))
     }
 
-    /// Records a start.
-    pub fn start(&mut self, at: Instant, start: &Start) {
+    /// Records a start; the task counts as running.
+    pub fn record_start(&mut self, at: Instant, start: &Start) {
         self.running += 1;
         let record = TaskRecord {
             task: start.task.clone(),
@@ -67,14 +69,14 @@
             total: start.total,
             state: RecordState::Running,
         };
-        let job = self.job_at(at, start.task.job());
+        let job = self.get_or_insert_job(at, start.task.job());
         let number = (start.epoch, start.attempt);
         job.started.insert(start.task.index, (record, number));
     }
 
-    /// Records the end of a run; returns the digest of its body where it was
-    /// running.
-    pub fn end(&mut self, task: &TaskRef, outcome: TaskOutcome) -> Option<BodyDigest> {
+    /// Records the end of a run; returns the digest of the submission's body, or none
+    /// if the task was not running.
+    pub fn record_end(&mut self, task: &TaskRef, outcome: TaskOutcome) -> Option<BodyDigest> {
         let record = self.running_record(task)?;
         record.state = RecordState::Ended(outcome);
         let digest = record.digest;
@@ -82,9 +84,9 @@
         Some(digest)
     }
 
-    /// Forgets a start that the endpoint proved not to have happened; returns
-    /// its number where it was running.
-    pub fn undo(&mut self, task: &TaskRef) -> Option<StartNumber> {
+    /// Removes the record of a task that the endpoint proved not to have started;
+    /// returns the number of the start, or none if the task was not running.
+    pub fn remove_unstarted(&mut self, task: &TaskRef) -> Option<StartNumber> {
         self.running_record(task)?;
         let job = self.jobs.get_mut(&task.job())?;
         let (_, number) = job.started.shift_remove(&task.index)?;
@@ -92,21 +94,21 @@
         Some(number)
     }
 
-    /// Promises never to carry out starts of tasks without a record; returns
-    /// those starts.
-    pub fn forgo(&mut self, at: Instant, lookup: &Lookup) -> Vec<SentStart> {
+    /// Voids the requested starts of tasks without a record, so that they are never
+    /// carried out; returns the voided starts.
+    pub fn void_starts(&mut self, at: Instant, lookup: &Lookup) -> Vec<SentStart> {
         if lookup.forgo.is_empty() {
             return Vec::new();
         }
-        let records = self.job_at(at, lookup.job.clone());
-        let mut forgone = lookup.forgo.clone();
-        forgone.retain(|start| !records.started.contains_key(&start.index));
-        for start in &forgone {
+        let records = self.get_or_insert_job(at, lookup.job.clone());
+        let mut voided = lookup.forgo.clone();
+        voided.retain(|start| !records.started.contains_key(&start.index));
+        for start in &voided {
             let number = (lookup.epoch, start.attempt);
-            let promised = records.forgone.entry(start.index).or_insert(number);
-            *promised = number.max(*promised);
+            let newest = records.voided.entry(start.index).or_insert(number);
+            *newest = number.max(*newest);
         }
-        forgone
+        voided
     }
 
     /// Returns every record of a job.
@@ -118,7 +120,7 @@
             .unwrap_or_default()
     }
 
-    /// Returns the records of the tasks that run.
+    /// Returns the records of the running tasks.
     #[must_use]
     pub fn running_records(&self) -> Vec<TaskRecord> {
         self.jobs
@@ -130,13 +132,14 @@
             .collect()
     }
 
-    /// Returns the hash of every job with a record.
+    /// Returns the key hashes of the jobs with records.
     #[must_use]
     pub fn key_hashes(&self) -> Vec<KeyHash> {
         self.jobs.keys().map(JobRef::key_hash).collect()
     }
 
-    /// Drops jobs whose records' deadlines passed and that do not run.
+    /// Drops the records of jobs whose deadline has passed; a job that still runs
+    /// is kept for another `RECORD_WINDOW`.
     pub fn expire(&mut self, at: Instant) {
         while let Some((deadline, _)) = self.deadlines.front() {
             if *deadline > at {
@@ -145,7 +148,7 @@
             let Some((_, job)) = self.deadlines.pop_front() else {
                 return;
             };
-            if self.runs(&job) {
+            if self.is_job_running(&job) {
                 self.deadlines.push_back((at + RECORD_WINDOW, job));
             } else {
                 self.jobs.swap_remove(&job);
@@ -153,7 +156,7 @@
         }
     }
 
-    fn runs(&self, job: &JobRef) -> bool {
+    fn is_job_running(&self, job: &JobRef) -> bool {
         self.jobs.get(job).is_some_and(|records| {
             records
                 .started
@@ -162,7 +165,7 @@
         })
     }
 
-    fn job_at(&mut self, at: Instant, job: JobRef) -> &mut JobRecords {
+    fn get_or_insert_job(&mut self, at: Instant, job: JobRef) -> &mut JobRecords {
         if !self.jobs.contains_key(&job) {
             self.deadlines.push_back((at + RECORD_WINDOW, job.clone()));
         }
