--- a/crates/decisions/src/membership/acknowledgements.rs
+++ b/crates/decisions/src/membership/acknowledgements.rs
@@ -1,11 +1,11 @@
-//! Who has acknowledged a new ownership.
+//! Acknowledgements of a new ownership by the voters of earlier ones.
 
 use {
     chestnutrun_types::{Electorate, EntryId},
     indexmap::IndexSet,
 };
 
-/// Counts the voters of earlier ownerships that know of the new one.
+/// Counts the voters of earlier ownerships that acknowledged the new one.
 #[derive(Debug, Default)]
 pub struct Acknowledgements {
     electorates: Vec<Electorate>,
@@ -13,7 +13,7 @@
 }
 
 impl Acknowledgements {
-    /// Creates the count for the electorates of earlier ownerships.
+    /// Creates a count for the electorates of earlier ownerships, without empty ones.
     #[must_use]
     pub fn new(electorates: Vec<Electorate>) -> Self {
         let mut electorates = electorates;
@@ -24,18 +24,18 @@
         }
     }
 
-    /// Takes the word of a voter.
+    /// Adds a voter that acknowledged the new ownership.
     pub fn add(&mut self, voter: EntryId) {
         self.voters.insert(voter);
     }
 
-    /// Returns the electorates that must know.
+    /// Returns the electorates of which a majority must acknowledge.
     #[must_use]
     pub fn electorates(&self) -> &[Electorate] {
         &self.electorates
     }
 
-    /// Whether a majority of each electorate knows of the ownership.
+    /// Whether a majority of each electorate acknowledged the ownership.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         let has_majority = |voters: &Electorate| is_majority(voters, &self.voters);
@@ -43,7 +43,7 @@
     }
 }
 
-/// Whether more than half of the voters agreed.
+/// Whether more than half of the voters are in `agreed`.
 #[must_use]
 pub fn is_majority(voters: &[EntryId], agreed: &IndexSet<EntryId>) -> bool {
     let count = voters
--- a/crates/decisions/src/membership/claims.rs
+++ b/crates/decisions/src/membership/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of shards, and what other entries say to them.
+//! Claims of shards, and the messages between entries about ownerships.
 
 use {
     crate::membership::{
@@ -10,19 +10,20 @@
     },
 };
 
-/// Fewest entries that may vouch for an ownership.
+/// Fewest voters of an ownership; with fewer members nobody votes on it.
 const MIN_VOTERS: usize = 3;
 
 impl MembershipMachine {
-    /// Claims the shards whose owner is gone and that fall to this entry.
-    pub(super) fn claim(&mut self, now: Now) {
+    /// Claims the shards without a reachable owner for which this entry is the
+    /// preferred owner.
+    pub(super) fn claim_shards(&mut self, now: Now) {
         if self.leaving || !self.is_recorded() {
             return;
         }
         for shard in 0..self.conf.shards {
             let row = self.table.as_ref().and_then(|t| t.owners.get(&shard));
-            let is_orphan = row.is_none_or(|row| self.is_gone(now, &row.value));
-            if is_orphan && self.falls_to_me(shard) {
+            let is_unowned = row.is_none_or(|row| self.is_owner_lost(now, &row.value));
+            if is_unowned && self.is_preferred_owner(shard) {
                 let expected = row.map_or(0, |row| row.revision);
                 let previous = row.map(|row| row.value.clone());
                 self.claim_shard(shard, previous, expected);
@@ -33,7 +34,7 @@
     fn claim_shard(&mut self, shard: ShardId, previous: Option<ShardOwner>, expected: Revision) {
         let epoch = previous.as_ref().map_or(0, |owner| owner.epoch) + 1;
         let earlier = previous.map(electorates).unwrap_or_default();
-        self.claimed.insert((shard, epoch), earlier.clone());
+        self.open_claims.insert((shard, epoch), earlier.clone());
         let owner = ShardOwner {
             shard,
             entry: self.conf.me.entry.clone(),
@@ -42,14 +43,15 @@
             voters: self.voters(),
             earlier,
         };
-        self.write(TableWrite {
+        self.write_row(TableWrite {
             row: TableRow::Owner(owner),
             expected,
         });
     }
 
-    /// Begins or goes on with an ownership that the table records.
-    pub(super) fn own(&mut self, now: Now, owner: &ShardOwner) {
+    /// Begins an ownership that the table records for this entry, or updates a known
+    /// one.
+    pub(super) fn take_ownership(&mut self, now: Now, owner: &ShardOwner) {
         let (shard, epoch) = (owner.shard, owner.epoch);
         if let Some(owned) = self.owned.get_mut(&shard)
             && owned.owner.epoch == epoch
@@ -58,10 +60,10 @@
             return;
         }
         if epoch == 1 && self.is_first_run() {
-            self.agents.begin_site();
-            self.tell_all_agents();
+            self.agents.mark_complete();
+            self.broadcast_known_agents();
         }
-        let claimed = self.claimed.shift_remove(&(shard, epoch));
+        let claimed = self.open_claims.shift_remove(&(shard, epoch));
         let earlier = claimed.unwrap_or_else(|| owner.earlier.clone());
         let mut begun = OwnedShard::new(owner.clone(), earlier);
         begun.acknowledgements.add(self.conf.me.entry.clone());
@@ -73,35 +75,40 @@
             known: self.agents.of_shard(shard),
         });
         self.check_acknowledged(now, shard, KnownAgents::default());
-        self.announce(shard, None);
+        self.announce_ownership(shard, None);
     }
 
     pub(super) fn link_up(&mut self, entry: EntryId) {
-        self.tell_agents(&entry);
+        self.send_known_agents(&entry);
         for shard in self.owned.keys().copied().collect::<Vec<_>>() {
-            self.announce(shard, Some(&entry));
+            self.announce_ownership(shard, Some(&entry));
         }
-        self.peers.up(entry);
+        self.peers.link_up(entry);
     }
 
     pub(super) fn agent_up(&mut self, hello: &AgentHello) {
-        if self.agents.up(hello) {
-            self.tell_all_agents();
+        if self.agents.link_up(hello) {
+            self.broadcast_known_agents();
         }
     }
 
-    pub(super) fn entry_message(&mut self, now: Now, entry: &EntryId, message: EntryMessage) {
+    pub(super) fn handle_entry_message(
+        &mut self,
+        now: Now,
+        entry: &EntryId,
+        message: EntryMessage,
+    ) {
         match message {
-            EntryMessage::Agents(agents) => self.agents_told(now, agents),
-            EntryMessage::Owner(owner) => self.acknowledge(now, entry, owner),
-            EntryMessage::Acknowledgement(ack) => self.acknowledged(now, entry, ack),
-            EntryMessage::Vouch(question) => self.asked_to_vouch(now, entry, question),
-            EntryMessage::Vouched(vouched) => self.vouched(entry, vouched),
+            EntryMessage::Agents(agents) => self.merge_known_agents(now, agents),
+            EntryMessage::Owner(owner) => self.handle_announced_owner(now, entry, owner),
+            EntryMessage::Acknowledgement(ack) => self.handle_acknowledgement(now, entry, ack),
+            EntryMessage::Vouch(request) => self.handle_vote_request(now, entry, request),
+            EntryMessage::Vouched(vote) => self.handle_vote(entry, vote),
         }
     }
 
-    /// Writes owned rows anew whose voters changed or whose earlier voters all
-    /// know of the ownership.
+    /// Rewrites the rows of owned shards whose voters changed or whose earlier
+    /// electorates have acknowledged the ownership.
     pub(super) fn refresh_rows(&mut self) {
         if self.leaving {
             return;
@@ -114,17 +121,17 @@
                 continue;
             };
             owned
-                .doubtful
+                .uncertain_voters
                 .retain(|(expected, _)| *expected == row.revision);
             let owner = ShardOwner {
                 voters: voters.clone(),
-                earlier: owned.earlier(),
+                earlier: owned.earlier_electorates(),
                 ..row.value.clone()
             };
             if owner != row.value {
                 let doubt = (row.revision, voters.clone());
-                if !owned.doubtful.contains(&doubt) {
-                    owned.doubtful.push(doubt);
+                if !owned.uncertain_voters.contains(&doubt) {
+                    owned.uncertain_voters.push(doubt);
                 }
                 writes.push(TableWrite {
                     row: TableRow::Owner(owner),
@@ -133,12 +140,12 @@
             }
         }
         for write in writes {
-            self.write(write);
+            self.write_row(write);
         }
     }
 
-    /// Tells the owner of a shard, which may be new, to whom it may matter.
-    fn announce(&mut self, shard: ShardId, to: Option<&EntryId>) {
+    /// Sends the ownership of a shard to one entry, or to every linked entry.
+    fn announce_ownership(&mut self, shard: ShardId, to: Option<&EntryId>) {
         let Some(owned) = self.owned.get(&shard) else {
             return;
         };
@@ -152,11 +159,12 @@
         }
     }
 
-    /// Takes note of an ownership that its owner announces.
-    fn acknowledge(&mut self, now: Now, entry: &EntryId, owner: ShardOwner) {
+    /// Records an ownership that its owner announced, and acknowledges it if no
+    /// later one is known.
+    fn handle_announced_owner(&mut self, now: Now, entry: &EntryId, owner: ShardOwner) {
         let (shard, epoch) = (owner.shard, owner.epoch);
-        self.learn(now, owner);
-        if self.announced.get(&shard) == Some(&epoch) {
+        self.apply_owner(now, owner);
+        if self.newest_epochs.get(&shard) == Some(&epoch) {
             self.actions.push(MembershipAction::OwnerReady(shard));
             let acknowledgement = Acknowledgement {
                 shard,
@@ -167,7 +175,7 @@
         }
     }
 
-    fn acknowledged(&mut self, now: Now, entry: &EntryId, ack: Acknowledgement) {
+    fn handle_acknowledgement(&mut self, now: Now, entry: &EntryId, ack: Acknowledgement) {
         self.agents.merge(now.instant, ack.agents.clone());
         let Some(owned) = self.owned.get_mut(&ack.shard) else {
             return;
@@ -178,8 +186,8 @@
         }
     }
 
-    /// Tells the owner's machine what is known, and once that enough voters
-    /// know of the ownership.
+    /// Reports newly known agents of an owned shard, and once the moment at which
+    /// enough voters had acknowledged the ownership.
     fn check_acknowledged(&mut self, now: Now, shard: ShardId, agents: KnownAgents) {
         let Some(owned) = self.owned.get_mut(&shard) else {
             return;
@@ -191,22 +199,22 @@
             .push(MembershipAction::Acknowledged { shard, at, agents });
     }
 
-    fn agents_told(&mut self, now: Now, agents: KnownAgents) {
+    fn merge_known_agents(&mut self, now: Now, agents: KnownAgents) {
         let was_complete = self.agents.is_complete();
         self.agents.merge(now.instant, agents);
         if self.agents.is_complete() && !was_complete {
-            self.tell_all_agents();
+            self.broadcast_known_agents();
         }
     }
 
-    pub(super) fn tell_all_agents(&mut self) {
+    pub(super) fn broadcast_known_agents(&mut self) {
         for entry in self.peers.linked() {
-            self.tell_agents(&entry);
+            self.send_known_agents(&entry);
         }
     }
 
-    fn tell_agents(&mut self, entry: &EntryId) {
-        let agents = self.agents.share();
+    fn send_known_agents(&mut self, entry: &EntryId) {
+        let agents = self.agents.known_agents();
         self.send(entry, EntryMessage::Agents(agents));
     }
 
@@ -215,7 +223,7 @@
             .push(MembershipAction::Send(entry.clone(), message));
     }
 
-    /// Returns the entries that may vouch for an ownership of this one.
+    /// Returns the voters for an ownership of this entry; none with too few members.
     fn voters(&self) -> Electorate {
         let members = self.table.iter().flat_map(|table| table.members.keys());
         let mut voters: Electorate = members.cloned().collect();
@@ -226,14 +234,14 @@
         voters
     }
 
-    /// Whether no shard of the site had an owner before the present one.
+    /// Whether no shard of the site had an owner before its current one.
     fn is_first_run(&self) -> bool {
         let owners = self.table.iter().flat_map(|table| table.owners.values());
         owners.map(|row| row.value.epoch).all(|epoch| epoch <= 1)
     }
 
-    /// Whether the owner's run is over or out of reach.
-    fn is_gone(&self, now: Now, owner: &ShardOwner) -> bool {
+    /// Whether the owner has restarted, left the site or is unreachable.
+    fn is_owner_lost(&self, now: Now, owner: &ShardOwner) -> bool {
         if self.is_me(owner) {
             return false;
         }
@@ -244,11 +252,12 @@
         match row {
             None => true,
             Some(row) if row.value.incarnation != owner.incarnation => true,
-            Some(_) => self.peers.is_dead(now.instant, &owner.entry),
+            Some(_) => self.peers.is_unreachable(now.instant, &owner.entry),
         }
     }
 
-    fn falls_to_me(&self, shard: ShardId) -> bool {
+    /// Whether this entry is the preferred owner among itself and the linked entries.
+    fn is_preferred_owner(&self, shard: ShardId) -> bool {
         let Some(table) = &self.table else {
             return false;
         };
@@ -263,7 +272,7 @@
     }
 }
 
-/// Returns every electorate that may vouch for an ownership or an earlier one.
+/// Returns every electorate that may vote for an ownership or an earlier one.
 fn electorates(owner: ShardOwner) -> Vec<Electorate> {
     let mut electorates = owner.earlier;
     if !owner.voters.is_empty() && !electorates.contains(&owner.voters) {
--- a/crates/decisions/src/membership/membership_machine.rs
+++ b/crates/decisions/src/membership/membership_machine.rs
@@ -1,9 +1,9 @@
-//! The machine that keeps one entry's membership and ownerships.
+//! State machine for the membership and the ownerships of one entry.
 
 use {
     crate::membership::{
-        AgentLedger, MembershipAction, MembershipInput, OwnedShard, Peers,
-        vouching::{VouchQuestion, VouchRound},
+        AgentRuns, MembershipAction, MembershipInput, OwnedShard, Peers,
+        votes::{PendingVoteRequest, VoteRound},
     },
     chestnutrun_types::{
         Confirmation, Electorate, EndpointId, Epoch, Member, MemberList, Nonce, Now, ShardId,
@@ -13,51 +13,55 @@
     std::time::{Duration, Instant},
 };
 
-/// How often the table is read.
+/// Interval between reads of the table.
 const READ_INTERVAL: Duration = Duration::from_millis(300);
 
-/// An agent's question which ownership is valid.
+/// An agent's unanswered request to confirm the ownership of its shard.
 #[derive(Clone, Debug)]
-pub(super) struct AgentQuestion {
+pub(super) struct ConfirmRequest {
     endpoint: EndpointId,
     shard: ShardId,
     nonce: Nonce,
     at: Instant,
 }
 
-/// What the machine is made for.
+/// Settings of a [`MembershipMachine`].
 #[derive(Clone, Debug)]
 pub struct MembershipConf {
-    /// This entry.
+    /// This entry, as it is recorded among the members.
     pub me: Member,
     /// Number of shards of the site.
     pub shards: ShardId,
 }
 
-/// Keeps this entry's row, and owns the shards that fall to it.
+/// Keeps this entry recorded as a member, claims shards without an owner, and
+/// confirms the ownerships of this entry.
 #[derive(Debug)]
 pub struct MembershipMachine {
     pub(super) conf: MembershipConf,
     pub(super) table: Option<TableSnapshot>,
     pub(super) peers: Peers,
     pub(super) owned: IndexMap<ShardId, OwnedShard>,
-    pub(super) claimed: IndexMap<(ShardId, Epoch), Vec<Electorate>>,
-    pub(super) agents: AgentLedger,
-    pub(super) announced: IndexMap<ShardId, Epoch>,
+    /// Earlier electorates of claims that are not yet known to be recorded.
+    pub(super) open_claims: IndexMap<(ShardId, Epoch), Vec<Electorate>>,
+    pub(super) agents: AgentRuns,
+    /// Newest known epoch of each shard.
+    pub(super) newest_epochs: IndexMap<ShardId, Epoch>,
     pub(super) is_reading: bool,
     pub(super) next_read_at: Option<Instant>,
     pub(super) read_began_at: Option<Instant>,
-    pub(super) writes: Vec<TableWrite>,
-    pub(super) has_failed: bool,
-    pub(super) asked: Vec<AgentQuestion>,
-    pub(super) round: Option<VouchRound>,
-    pub(super) vouch_questions: Vec<VouchQuestion>,
+    /// Writes without a result.
+    pub(super) open_writes: Vec<TableWrite>,
+    pub(super) last_read_failed: bool,
+    pub(super) confirm_requests: Vec<ConfirmRequest>,
+    pub(super) vote_round: Option<VoteRound>,
+    pub(super) pending_vote_requests: Vec<PendingVoteRequest>,
     pub(super) leaving: bool,
     pub(super) actions: Vec<MembershipAction>,
 }
 
 impl MembershipMachine {
-    /// Creates a machine that knows nothing of the table.
+    /// Creates a machine that has not read the table.
     #[must_use]
     pub fn new(conf: MembershipConf) -> Self {
         Self {
@@ -65,32 +69,34 @@
             table: None,
             peers: Peers::default(),
             owned: IndexMap::new(),
-            claimed: IndexMap::new(),
-            agents: AgentLedger::default(),
-            announced: IndexMap::new(),
+            open_claims: IndexMap::new(),
+            agents: AgentRuns::default(),
+            newest_epochs: IndexMap::new(),
             is_reading: false,
             next_read_at: None,
             read_began_at: None,
-            writes: Vec::new(),
-            has_failed: false,
-            asked: Vec::new(),
-            round: None,
-            vouch_questions: Vec::new(),
+            open_writes: Vec::new(),
+            last_read_failed: false,
+            confirm_requests: Vec::new(),
+            vote_round: None,
+            pending_vote_requests: Vec::new(),
             leaving: false,
             actions: Vec::new(),
         }
     }
 
-    /// Takes one input.
+    /// Processes an input and returns the resulting actions in order.
     pub fn handle(&mut self, now: Now, input: MembershipInput) -> Vec<MembershipAction> {
         match input {
-            MembershipInput::Read(snapshot) => self.read(now, *snapshot),
-            MembershipInput::ReadFailed => self.read_failed(),
-            MembershipInput::Written(write, result) => self.written(now, &write, result),
+            MembershipInput::Read(snapshot) => self.handle_read(now, *snapshot),
+            MembershipInput::ReadFailed => self.handle_read_failure(),
+            MembershipInput::Written(write, result) => {
+                self.handle_write_result(now, &write, result);
+            }
             MembershipInput::LinkUp(entry) => self.link_up(entry),
-            MembershipInput::LinkDown(entry) => self.peers.down(now.instant, entry),
+            MembershipInput::LinkDown(entry) => self.peers.link_down(now.instant, entry),
             MembershipInput::Confirm(endpoint, shard, nonce) => {
-                self.asked.push(AgentQuestion {
+                self.confirm_requests.push(ConfirmRequest {
                     endpoint,
                     shard,
                     nonce,
@@ -99,14 +105,14 @@
             }
             MembershipInput::AgentUp(hello) => self.agent_up(&hello),
             MembershipInput::AgentDown(endpoint, run) => {
-                self.agents.down(now.instant, &endpoint, run);
+                self.agents.link_down(now.instant, &endpoint, run);
             }
             MembershipInput::AgentDeparted(endpoint, run, jobs) => {
-                self.agents.depart(&endpoint, run, jobs);
-                self.tell_all_agents();
+                self.agents.record_departure(&endpoint, run, jobs);
+                self.broadcast_known_agents();
             }
             MembershipInput::FromEntry(entry, message) => {
-                self.entry_message(now, &entry, message);
+                self.handle_entry_message(now, &entry, message);
             }
             MembershipInput::Leave => self.leave(),
             MembershipInput::Tick => self.tick(now),
@@ -121,14 +127,15 @@
             .map(|(shard, owned)| (*shard, owned.owner.epoch))
     }
 
-    /// Whether the site's other entries took over what this one had.
+    /// Whether this entry has left the site: it is no longer a member, and it owns
+    /// no shard or no linked entry could take its shards over.
     #[must_use]
     pub fn has_left(&self) -> bool {
         let has_peers = self.peers.any_linked();
         self.leaving && !self.is_recorded() && (self.owned.is_empty() || !has_peers)
     }
 
-    /// Returns what the last read of the table showed.
+    /// Returns the last successful read of the table.
     #[must_use]
     pub fn table(&self) -> Option<&TableSnapshot> {
         self.table.as_ref()
@@ -140,7 +147,7 @@
         if is_due && !self.is_reading {
             self.start_read(now);
         }
-        self.start_round_if_due(now);
+        self.start_vote_round_if_due(now);
     }
 
     fn start_read(&mut self, now: Now) {
@@ -150,17 +157,17 @@
         self.actions.push(MembershipAction::Read);
     }
 
-    fn read_failed(&mut self) {
+    fn handle_read_failure(&mut self) {
         self.is_reading = false;
-        self.has_failed = true;
-        self.give_word();
+        self.last_read_failed = true;
+        self.vote_from_memory();
     }
 
-    fn read(&mut self, now: Now, snapshot: TableSnapshot) {
+    fn handle_read(&mut self, now: Now, snapshot: TableSnapshot) {
         self.is_reading = false;
-        self.has_failed = false;
+        self.last_read_failed = false;
         let members: Vec<Member> = snapshot.members.values().map(|m| m.value.clone()).collect();
-        self.peers.record(now.instant, members.iter());
+        self.peers.add_members(now.instant, members.iter());
         self.actions.push(MembershipAction::Members(MemberList {
             revision: snapshot.revision,
             members,
@@ -171,35 +178,36 @@
         let owners: Vec<ShardOwner> = snapshot.owners.values().map(|o| o.value.clone()).collect();
         self.table = Some(snapshot);
         for owner in owners {
-            self.learn(now, owner);
+            self.apply_owner(now, owner);
         }
-        self.confirm_read();
-        self.join();
-        self.claim(now);
+        self.confirm_from_read();
+        self.update_member_row();
+        self.claim_shards(now);
         self.refresh_rows();
     }
 
-    /// Takes an ownership that the table records.
-    pub(super) fn learn(&mut self, now: Now, owner: ShardOwner) {
+    /// Applies an ownership that the table records, unless a later one is known.
+    pub(super) fn apply_owner(&mut self, now: Now, owner: ShardOwner) {
         let shard = owner.shard;
-        let newest = self.announced.get(&shard).copied().unwrap_or_default();
+        let newest = self.newest_epochs.get(&shard).copied().unwrap_or_default();
         if owner.epoch < newest {
-            // The read began before a later write.
+            // The read began before the later ownership was written.
             return;
         }
         if self.is_me(&owner) {
-            self.own(now, &owner);
+            self.take_ownership(now, &owner);
         } else if self.owned.shift_remove(&shard).is_some() {
             self.actions.push(MembershipAction::Deposed(shard));
         }
-        if self.announced.get(&shard) != Some(&owner.epoch) {
-            self.announced.insert(shard, owner.epoch);
+        if self.newest_epochs.get(&shard) != Some(&owner.epoch) {
+            self.newest_epochs.insert(shard, owner.epoch);
             self.actions.push(MembershipAction::OwnerIs(owner));
         }
     }
 
-    /// Confirms what was asked before the read that just succeeded began.
-    fn confirm_read(&mut self) {
+    /// Answers the requests of agents and owners that arrived before the read that
+    /// just succeeded began.
+    fn confirm_from_read(&mut self) {
         let Some(at) = self.read_began_at else {
             return;
         };
@@ -207,36 +215,37 @@
         for shard in owned {
             self.confirm(shard, at);
         }
-        self.asked.retain(|question| question.at > at);
-        self.give_testimony(at);
+        self.confirm_requests.retain(|request| request.at > at);
+        self.vote_from_read(at);
     }
 
-    /// Confirms an ownership that was valid at or after `at`.
+    /// Confirms an ownership that was valid at or after `at` to the agents whose
+    /// requests arrived by then.
     pub(super) fn confirm(&mut self, shard: ShardId, at: Instant) {
         let Some(owned) = self.owned.get(&shard) else {
             return;
         };
-        for question in &self.asked {
-            if question.shard == shard && question.at <= at {
+        for request in &self.confirm_requests {
+            if request.shard == shard && request.at <= at {
                 let confirmation = Confirmation {
-                    nonce: question.nonce,
+                    nonce: request.nonce,
                     shard,
                     epoch: owned.owner.epoch,
                     voters: owned.owner.voters.clone(),
                 };
-                let endpoint = question.endpoint.clone();
+                let endpoint = request.endpoint.clone();
                 self.actions
                     .push(MembershipAction::Confirm(endpoint, confirmation));
             }
         }
-        self.asked
-            .retain(|question| question.shard != shard || question.at > at);
+        self.confirm_requests
+            .retain(|request| request.shard != shard || request.at > at);
         self.actions.push(MembershipAction::Owned { shard, at });
     }
 
-    /// Writes this entry's row where the table lacks it, or removes it where
-    /// the entry leaves.
-    fn join(&mut self) {
+    /// Writes this entry's row if the table lacks it, or removes the row if the
+    /// entry is leaving.
+    fn update_member_row(&mut self) {
         if self.leaving {
             self.leave();
             return;
@@ -246,28 +255,28 @@
         let expected = row.map_or(0, |row| row.revision);
         let is_replaced = row.is_some_and(|row| row.value.incarnation > me.incarnation);
         if !is_replaced && row.is_none_or(|row| row.value != me) {
-            self.write(TableWrite {
+            self.write_row(TableWrite {
                 row: TableRow::Member(me),
                 expected,
             });
         }
     }
 
-    pub(super) fn write(&mut self, write: TableWrite) {
-        if !self.writes.contains(&write) {
-            self.writes.push(write.clone());
+    pub(super) fn write_row(&mut self, write: TableWrite) {
+        if !self.open_writes.contains(&write) {
+            self.open_writes.push(write.clone());
             self.actions.push(MembershipAction::Write(write));
         }
     }
 
-    fn written(&mut self, now: Now, write: &TableWrite, result: WriteResult) {
-        self.writes.retain(|open| open != write);
+    fn handle_write_result(&mut self, now: Now, write: &TableWrite, result: WriteResult) {
+        self.open_writes.retain(|open| open != write);
         if matches!(result, WriteResult::Accepted(_))
             && let TableRow::Owner(owner) = &write.row
         {
-            self.learn(now, owner.clone());
+            self.apply_owner(now, owner.clone());
         }
-        // A conflict or a lost answer is settled by the next read.
+        // After a conflict or a lost answer the next read shows what is recorded.
         self.next_read_at = Some(now.instant);
     }
 
@@ -277,7 +286,7 @@
         let row = self.table.as_ref().and_then(|t| t.members.get(&entry));
         if let Some(row) = row.filter(|row| row.value == self.conf.me) {
             let expected = row.revision;
-            self.write(TableWrite {
+            self.write_row(TableWrite {
                 row: TableRow::MemberGone(entry),
                 expected,
             });
--- a/crates/decisions/src/membership/messages.rs
+++ b/crates/decisions/src/membership/messages.rs
@@ -1,4 +1,4 @@
-//! Inputs and actions of the machine that keeps membership and ownership.
+//! Inputs and actions of the membership state machine.
 
 use {
     chestnutrun_types::{
@@ -9,22 +9,22 @@
     std::time::Instant,
 };
 
-/// What entries tell each other about agents and ownerships.
+/// Messages between entries about agents and ownerships.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EntryMessage {
-    /// The runs of agents that the sender knows.
+    /// The sender reports the runs of agents that it knows.
     Agents(KnownAgents),
     /// The sender owns a shard.
     Owner(ShardOwner),
-    /// The sender took note of an ownership.
+    /// The sender acknowledges an ownership of the receiver.
     Acknowledgement(Acknowledgement),
-    /// Is the sender's ownership valid?
+    /// The sender requests a vote on the validity of its ownership.
     Vouch(Vouch),
-    /// The ownership is valid.
+    /// The sender votes for the receiver's ownership.
     Vouched(Vouched),
 }
 
-/// What the machine takes.
+/// Inputs of the membership state machine.
 #[derive(Clone, Debug)]
 pub enum MembershipInput {
     /// A read of the table succeeded.
@@ -37,15 +37,15 @@
     LinkUp(EntryId),
     /// The link to another entry closed.
     LinkDown(EntryId),
-    /// An agent asks for a confirmation of the ownership of its shard.
+    /// An agent requests a confirmation of the ownership of its shard.
     Confirm(EndpointId, ShardId, Nonce),
     /// A link from an agent opened.
     AgentUp(AgentHello),
     /// The link from an agent closed.
     AgentDown(EndpointId, Incarnation),
-    /// A run of an agent left, and these are the jobs of its records.
+    /// A run of an agent departed; with the jobs of its records.
     AgentDeparted(EndpointId, Incarnation, Vec<KeyHash>),
-    /// Another entry says something.
+    /// A message from another entry arrived.
     FromEntry(EntryId, EntryMessage),
     /// The process was told to stop.
     Leave,
@@ -53,7 +53,7 @@
     Tick,
 }
 
-/// What the machine asks its front end to do.
+/// Actions that the membership state machine requests from its front end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
     /// Read the table.
@@ -64,41 +64,41 @@
     Own {
         /// The shard.
         shard: ShardId,
-        /// Number of the ownership.
+        /// Epoch of the ownership.
         epoch: Epoch,
-        /// A moment at which the ownership was recorded already.
+        /// A moment at which the table already recorded the ownership.
         written_at: Instant,
-        /// What this entry knows of the shard's agents.
+        /// Runs of the shard's agents that this entry knows.
         known: KnownAgents,
     },
-    /// Another entry took note of an ownership of this one.
+    /// The acknowledgements or the known agents of an owned shard changed.
     Acknowledged {
         /// The shard.
         shard: ShardId,
-        /// When a majority of every earlier electorate knew, where it now does.
+        /// When a majority of every earlier electorate had acknowledged; set once.
         at: Option<Instant>,
-        /// What that entry knows of the shard's agents.
+        /// Runs of the shard's agents that the acknowledging entry knows.
         agents: KnownAgents,
     },
-    /// Tell another entry something.
+    /// Send a message to another entry.
     Send(EntryId, EntryMessage),
-    /// This entry owned a shard at a moment that is not before `at`.
+    /// This entry still owned a shard at `at` or later.
     Owned {
         /// The shard.
         shard: ShardId,
-        /// When the question was asked.
+        /// When the read or the vote round that confirmed the ownership began.
         at: Instant,
     },
     /// This entry no longer owns a shard.
     Deposed(ShardId),
-    /// A shard has an owner.
+    /// A shard has a new owner, which may be this entry.
     OwnerIs(ShardOwner),
-    /// The owner of a shard says that it takes requests.
+    /// The owner of a shard announced that it accepts requests.
     OwnerReady(ShardId),
-    /// Confirm an ownership to an agent.
+    /// Send a confirmation of an ownership to an agent.
     Confirm(EndpointId, Confirmation),
-    /// The entries of the site, as recorded.
+    /// A read of the table showed these members of the site.
     Members(MemberList),
-    /// A configuration was read.
+    /// A read of the table showed this configuration.
     Configured(Configuration),
 }
--- a/crates/decisions/src/membership/mod.rs
+++ b/crates/decisions/src/membership/mod.rs
@@ -1,18 +1,18 @@
-//! Decisions of an entry about the site's entries and the owners of shards,
-//! as recorded in the platform's table.
+//! Decisions of an entry about the site's members and the owners of shards, as
+//! recorded in the platform's table.
 
 mod acknowledgements;
-mod agent_ledger;
+mod agent_runs;
 mod claims;
 mod membership_machine;
 mod messages;
 mod owned_shard;
 mod peers;
-mod vouching;
+mod votes;
 
 pub use {
     acknowledgements::{Acknowledgements, is_majority},
-    agent_ledger::AgentLedger,
+    agent_runs::AgentRuns,
     membership_machine::{MembershipConf, MembershipMachine},
     messages::{EntryMessage, MembershipAction, MembershipInput},
     owned_shard::OwnedShard,
--- a/crates/decisions/src/membership/owned_shard.rs
+++ b/crates/decisions/src/membership/owned_shard.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of a shard that it owns.
+//! State that an entry keeps for a shard that it owns.
 
 use {
     crate::membership::{Acknowledgements, is_majority},
@@ -9,41 +9,41 @@
 /// A shard that this entry owns.
 #[derive(Debug)]
 pub struct OwnedShard {
-    /// The ownership as this entry last saw it recorded.
+    /// The newest recorded row of the ownership that this entry knows.
     pub owner: ShardOwner,
-    /// Which voters of earlier ownerships know of it.
+    /// Voters of earlier ownerships that acknowledged this one.
     pub acknowledgements: Acknowledgements,
-    /// Whether enough of them do.
+    /// Whether enough of these voters did.
     pub acknowledged: bool,
-    /// Voters of writes whose outcome is not known, with the revision of the
-    /// row that each write replaces.
-    pub doubtful: Vec<(Revision, Electorate)>,
+    /// Voters in row writes of unknown outcome, each with the revision of the row
+    /// that the write replaces.
+    pub uncertain_voters: Vec<(Revision, Electorate)>,
 }
 
 impl OwnedShard {
-    /// Begins an ownership after those with `earlier` electorates.
+    /// Begins an ownership; `earlier` are the electorates of earlier ownerships.
     #[must_use]
     pub fn new(owner: ShardOwner, earlier: Vec<Electorate>) -> Self {
         Self {
             owner,
             acknowledgements: Acknowledgements::new(earlier),
             acknowledged: false,
-            doubtful: Vec::new(),
+            uncertain_voters: Vec::new(),
         }
     }
 
-    /// Whether these voters are enough to vouch for the ownership, whichever
-    /// of its recorded or attempted rows is in force.
+    /// Whether the votes confirm the ownership, whichever of its recorded or
+    /// attempted rows is in force.
     #[must_use]
-    pub fn is_vouched(&self, words: &IndexSet<EntryId>) -> bool {
-        let doubtful = self.doubtful.iter().map(|(_, voters)| voters);
-        let mut electorates = doubtful.chain([&self.owner.voters]);
-        electorates.all(|voters| is_majority(voters, words))
+    pub fn has_vote_majority(&self, votes: &IndexSet<EntryId>) -> bool {
+        let uncertain_voters = self.uncertain_voters.iter().map(|(_, voters)| voters);
+        let mut electorates = uncertain_voters.chain([&self.owner.voters]);
+        electorates.all(|voters| is_majority(voters, votes))
     }
 
-    /// Returns the electorates that may still vouch for earlier ownerships.
+    /// Returns the electorates that may still vote for earlier ownerships.
     #[must_use]
-    pub fn earlier(&self) -> Vec<Electorate> {
+    pub fn earlier_electorates(&self) -> Vec<Electorate> {
         if self.acknowledged {
             Vec::new()
         } else {
--- a/crates/decisions/src/membership/peers.rs
+++ b/crates/decisions/src/membership/peers.rs
@@ -1,4 +1,4 @@
-//! Which other entries are reachable, and since when one is not.
+//! Reachability of the other entries.
 
 use {
     chestnutrun_types::{EntryId, Member, ShardId},
@@ -10,18 +10,19 @@
     xxhash_rust::xxh3::Xxh3,
 };
 
-/// How long an entry must be out of reach before another takes its shards.
+/// How long an entry must be without a link before another claims its shards.
 const SUSPECT_AFTER: Duration = Duration::from_millis(500);
 
-/// Reachability of the other entries.
+/// Links to the other entries, and since when a link is down.
 #[derive(Debug, Default)]
 pub struct Peers {
+    /// When the link went down; none while the link is open.
     down_since: IndexMap<EntryId, Option<Instant>>,
 }
 
 impl Peers {
-    /// Takes the recorded entries; an unknown one counts as down from `at`.
-    pub fn record<'a>(&mut self, at: Instant, members: impl Iterator<Item = &'a Member>) {
+    /// Adds the recorded members; an unknown entry counts as down since `at`.
+    pub fn add_members<'a>(&mut self, at: Instant, members: impl Iterator<Item = &'a Member>) {
         for member in members {
             self.down_since
                 .entry(member.entry.clone())
@@ -29,13 +30,13 @@
         }
     }
 
-    /// Notes that a link opened.
-    pub fn up(&mut self, entry: EntryId) {
+    /// Records that a link opened.
+    pub fn link_up(&mut self, entry: EntryId) {
         self.down_since.insert(entry, None);
     }
 
-    /// Notes that a link closed.
-    pub fn down(&mut self, at: Instant, entry: EntryId) {
+    /// Records that a link closed.
+    pub fn link_down(&mut self, at: Instant, entry: EntryId) {
         self.down_since.insert(entry, Some(at));
     }
 
@@ -59,9 +60,9 @@
         self.down_since.values().any(Option::is_none)
     }
 
-    /// Whether the entry has been out of reach for long enough.
+    /// Whether the entry is unknown or has been down for `SUSPECT_AFTER`.
     #[must_use]
-    pub fn is_dead(&self, at: Instant, entry: &EntryId) -> bool {
+    pub fn is_unreachable(&self, at: Instant, entry: &EntryId) -> bool {
         match self.down_since.get(entry) {
             Some(Some(since)) => at >= *since + SUSPECT_AFTER,
             Some(None) => false,
@@ -70,7 +71,7 @@
     }
 }
 
-/// Returns how strongly a shard prefers an entry.
+/// Returns the rank of an entry as owner of a shard; the highest one is preferred.
 #[must_use]
 pub fn preference(shard: ShardId, entry: &EntryId) -> u64 {
     let mut hasher = Xxh3::new();
