--- a/crates/decisions/tests/agent_records.rs
+++ b/crates/decisions/tests/agent_records.rs
@@ -1,4 +1,4 @@
-//! What an agent's records say about a start that comes again.
+//! Repeated starts are answered from an agent's records.
 
 use {
     chestnutrun_decisions::agent::{
@@ -15,7 +15,7 @@
 const BODY: BodyDigest = 7;
 const OTHER_BODY: BodyDigest = 8;
 
-/// An agent with a lease of `entry-0`.
+/// An agent that holds a lease from the owner `entry-0`.
 #[fixture]
 fn agent() -> AgentMachine {
     let now = Now::read();
@@ -63,7 +63,7 @@
     }
 }
 
-fn ask(agent: &mut AgentMachine, digest: BodyDigest) -> Vec<AgentAction> {
+fn send_start(agent: &mut AgentMachine, digest: BodyDigest) -> Vec<AgentAction> {
     let now = Now::read();
     agent.handle(now, AgentInput::Start("entry-0".into(), start(now, digest)))
 }
@@ -78,24 +78,27 @@
 
 #[rstest]
 fn a_repeated_start_runs_once(mut agent: AgentMachine) {
-    assert!(matches!(ask(&mut agent, BODY)[..], [AgentAction::Run(_)]));
-    assert_eq!(ask(&mut agent, BODY), []);
+    assert!(matches!(
+        send_start(&mut agent, BODY)[..],
+        [AgentAction::Run(_)]
+    ));
+    assert_eq!(send_start(&mut agent, BODY), []);
 }
 
 #[rstest]
 fn another_body_is_refused_while_the_task_runs(mut agent: AgentMachine) {
-    ask(&mut agent, BODY);
-    assert!(is_refused_for_its_body(&ask(&mut agent, OTHER_BODY)));
+    send_start(&mut agent, BODY);
+    assert!(is_refused_for_its_body(&send_start(&mut agent, OTHER_BODY)));
 }
 
 #[rstest]
 fn another_body_gets_no_output_of_an_ended_run(mut agent: AgentMachine) {
-    ask(&mut agent, BODY);
+    send_start(&mut agent, BODY);
     let task = start(Now::read(), BODY).task;
     let outcome = RunOutcome::Completed("done".to_owned());
     agent.handle(Now::read(), AgentInput::Ran(task, outcome));
-    assert!(is_refused_for_its_body(&ask(&mut agent, OTHER_BODY)));
-    let again = ask(&mut agent, BODY);
+    assert!(is_refused_for_its_body(&send_start(&mut agent, OTHER_BODY)));
+    let again = send_start(&mut agent, BODY);
     assert!(matches!(
         &again[..],
         [AgentAction::Send(_, AgentMessage::Finished(finished))] if finished.digest == BODY
--- a/crates/decisions/tests/guard.rs
+++ b/crates/decisions/tests/guard.rs
@@ -1,4 +1,4 @@
-//! The guard alone, one case a test.
+//! Tests of the guard's state machine without an agent or entries around it.
 
 use {
     chestnutrun_decisions::guard::{
@@ -12,8 +12,8 @@
     std::time::{Duration, Instant, SystemTime},
 };
 
-/// Lists a second that an endpoint without a listener is asked for at most.
-const MOST_LISTS: usize = 15;
+/// Most list orders in a second to an endpoint without a listener.
+const MAX_LISTS: usize = 15;
 
 fn announcement() -> Announcement {
     Announcement {
@@ -63,7 +63,7 @@
     }
 }
 
-/// A guard with a clean endpoint and one entry that was alive at `begin`.
+/// Creates a guard with a clean endpoint and one entry that was alive at `begin`.
 fn usable_guard(begin: Instant) -> GuardMachine {
     let mut guard = GuardMachine::new(GuardConf { first_number: 1 });
     let now = later(begin, 0);
@@ -94,7 +94,7 @@
 }
 
 #[rstest]
-fn a_new_run_of_an_entry_hears_of_no_task_of_the_earlier_one() {
+fn a_new_entry_incarnation_gets_no_ends_of_the_earlier_one() {
     let begin = Instant::now();
     let mut guard = GuardMachine::new(GuardConf { first_number: 1 });
     let now = later(begin, 0);
@@ -144,16 +144,16 @@
         now,
         GuardInput::Listed(1, order, Answer::Done(clock, ended)),
     ));
-    let told = actions.iter().filter_map(|action| match action {
+    let reported_ends = actions.iter().filter_map(|action| match action {
         GuardAction::Send(_, GuardMessage::Update(update)) => Some(update.ends.len()),
         _ => None,
     });
-    assert_eq!(told.sum::<usize>(), 0, "{actions:?}");
-    assert_eq!(guard.tasks(), 1, "the new task stays");
+    assert_eq!(reported_ends.sum::<usize>(), 0, "{actions:?}");
+    assert_eq!(guard.tasks(), 1, "the new task remains");
 }
 
 #[rstest]
-fn an_endpoint_that_refuses_connections_is_not_asked_without_a_pause() {
+fn lists_pause_when_an_endpoint_refuses_connections() {
     let begin = Instant::now();
     let mut guard = GuardMachine::new(GuardConf { first_number: 1 });
     let now = |millis| later(begin, millis);
@@ -165,35 +165,35 @@
             let input = GuardInput::Listed(order.incarnation, order, refused);
             orders.extend(lists(guard.handle(now(millis), input)));
             asked += orders.len();
-            assert!(asked <= MOST_LISTS, "{asked} lists within {millis} ms");
+            assert!(asked <= MAX_LISTS, "{asked} lists within {millis} ms");
         }
         orders.extend(lists(guard.handle(now(millis), GuardInput::Tick)));
         asked += orders.len();
     }
     assert!(
-        (5..=MOST_LISTS).contains(&asked),
+        (5..=MAX_LISTS).contains(&asked),
         "{asked} lists in a second"
     );
 }
 
-/// Orders within 600 ms to an endpoint without a listener: a list and a start
-/// each tenth of a second.
-const MOST_REFUSED: usize = 14;
+/// Most orders within 600 ms to an endpoint without a listener: a list and a
+/// start each 100 ms.
+const MAX_REFUSED: usize = 14;
 
-/// Orders within 600 ms to an endpoint whose connections break: a list and the
-/// stops of three runs each 50 ms, and three starts.
-const MOST_BROKEN: usize = 55;
+/// Most orders within 600 ms to an endpoint whose connections break: a list and
+/// the stops of three runs each 50 ms, and three starts.
+const MAX_BROKEN: usize = 55;
 
-/// A way in which an order fails at once.
+/// How each order fails, without a delay.
 #[derive(Clone, Copy, Debug)]
-enum AtOnce {
+enum ImmediateFailure {
     /// No connection was made.
     Refused,
     /// The connection broke after the order was sent.
     Broken,
 }
 
-impl AtOnce {
+impl ImmediateFailure {
     fn answer<T>(self) -> Answer<T> {
         match self {
             Self::Refused => Answer::Refused(None, OrderFault::Unwell),
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Answers an order; none for what is no order.
+    /// Returns the failed answer to an order; none for other actions.
     fn input(self, action: GuardAction) -> Option<GuardInput> {
         match action {
             GuardAction::Start(order) => Some(GuardInput::Started(1, order.run, self.answer())),
@@ -213,9 +213,12 @@
 }
 
 #[rstest]
-#[case::refused(AtOnce::Refused, MOST_REFUSED)]
-#[case::broken(AtOnce::Broken, MOST_BROKEN)]
-fn an_endpoint_that_fails_at_once_gets_few_orders(#[case] fault: AtOnce, #[case] most: usize) {
+#[case::refused(ImmediateFailure::Refused, MAX_REFUSED)]
+#[case::broken(ImmediateFailure::Broken, MAX_BROKEN)]
+fn an_endpoint_that_fails_immediately_gets_few_orders(
+    #[case] failure: ImmediateFailure,
+    #[case] max_orders: usize,
+) {
     let begin = Instant::now();
     let now = |millis| later(begin, millis);
     let entry: EntryId = "entry".into();
@@ -241,20 +244,20 @@
             if let GuardAction::Send(_, GuardMessage::Update(update)) = &action {
                 told_room = update.most_tasks;
             }
-            if let Some(input) = fault.input(action) {
+            if let Some(input) = failure.input(action) {
                 orders += 1;
-                assert!(orders <= most, "{orders} within {millis} ms");
+                assert!(orders <= max_orders, "{orders} orders within {millis} ms");
                 actions.extend(guard.handle(now(millis), input));
             }
         }
     }
 }
 
-/// Runs that an endpoint may fail within a second after it failed some in a
-/// row: one each quarter of a second.
-const MOST_FAILED: usize = 5;
+/// Most failed runs in a second at an endpoint that already failed several in a
+/// row: one each 250 ms.
+const MAX_FAILED: usize = 5;
 
-/// An endpoint that starts everything and fails it at once.
+/// An endpoint that accepts each start and fails the run at once.
 #[derive(Debug, Default)]
 struct FailingEndpoint {
     ended: Vec<ListedEnd>,
@@ -263,7 +266,8 @@
 }
 
 impl FailingEndpoint {
-    fn take(&mut self, action: GuardAction) -> Option<GuardInput> {
+    /// Applies an action of the guard; returns the answer to a start.
+    fn handle(&mut self, action: GuardAction) -> Option<GuardInput> {
         match action {
             GuardAction::Start(order) => {
                 let number = u64::try_from(self.ended.len()).expect("a small number") + 1;
@@ -286,12 +290,13 @@
         None
     }
 
+    /// Answers the newest long poll with the ends after its `seen`.
     fn answer_poll(&mut self) -> Option<GuardInput> {
         let order = self.polls.pop()?;
-        let news = self.ended.iter().filter(|end| end.number > order.seen);
+        let new_ends = self.ended.iter().filter(|end| end.number > order.seen);
         let reply = ListReply {
             running: Vec::new(),
-            ended: news.cloned().collect(),
+            ended: new_ends.cloned().collect(),
         };
         let answer = Answer::Done(Duration::from_secs(1), reply);
         Some(GuardInput::Listed(1, order, answer))
@@ -299,7 +304,7 @@
 }
 
 #[rstest]
-fn an_endpoint_that_fails_everything_is_tried_seldom_and_by_one_entry() {
+fn a_failing_endpoint_is_tried_rarely_and_by_one_entry() {
     let begin = Instant::now();
     let now = |millis| later(begin, millis);
     let entries: Vec<EntryId> = vec!["0".into(), "1".into(), "2".into()];
@@ -329,11 +334,11 @@
             let wake_at = guard.wake_at(now(millis).instant);
             assert!(
                 wake_at.is_none_or(|at| at > now(millis).instant),
-                "it would spin"
+                "the loop would spin"
             );
         }
         while let Some(action) = actions.pop() {
-            let input = endpoint.take(action);
+            let input = endpoint.handle(action);
             actions.extend(input.map_or_else(Vec::new, |input| guard.handle(now(millis), input)));
         }
         if millis == 1_000 {
@@ -341,15 +346,18 @@
         }
     }
     let failed = endpoint.ended.len() - before;
-    assert!((2..=MOST_FAILED).contains(&failed), "{failed} in a second");
+    assert!(
+        (2..=MAX_FAILED).contains(&failed),
+        "{failed} failed runs in a second"
+    );
 }
 
-/// Time within which the end of a run is known though the list that waited for
-/// it got lost: half of the time for which a short job may be late.
-const END_KNOWN_WITHIN: u64 = 60;
+/// Milliseconds within which the end of a run is known although the long poll got
+/// lost: half of the time by which a short job may be late.
+const END_KNOWN_WITHIN_MS: u64 = 60;
 
 #[rstest]
-fn a_lost_list_delays_no_end() {
+fn a_lost_long_poll_does_not_delay_the_end_of_a_run() {
     let begin = Instant::now();
     let now = |millis| later(begin, millis);
     let clock = Duration::from_secs(1);
@@ -363,8 +371,8 @@
         run: start.run,
         how: RunEnd::Done,
     };
-    // The list that waits for ends is never answered.
-    for millis in 1..=END_KNOWN_WITHIN {
+    // The long poll is never answered.
+    for millis in 1..=END_KNOWN_WITHIN_MS {
         let is_due = guard
             .wake_at(now(millis).instant)
             .is_some_and(|at| at <= now(millis).instant);
@@ -383,11 +391,11 @@
             return;
         }
     }
-    panic!("the end is not known after {END_KNOWN_WITHIN} ms");
+    panic!("the end of the run is not known after {END_KNOWN_WITHIN_MS} ms");
 }
 
 #[rstest]
-fn what_was_started_before_an_endpoint_came_back_is_stopped_there_first() {
+fn a_restarted_endpoint_gets_stop_orders_for_earlier_runs() {
     let begin = Instant::now();
     let now = |millis| later(begin, millis);
     let clock = Duration::from_secs(1);
@@ -396,7 +404,7 @@
     let start = assign_one(&mut guard, now(0));
     let started = GuardInput::Started(1, start.run, Answer::Done(clock, ()));
     guard.handle(now(1), started);
-    // The endpoint had started again before the order reached it.
+    // The endpoint had restarted before the start order reached it.
     let mut again = announcement();
     again.info.incarnation = 2;
     let actions = guard.handle(now(10), GuardInput::Announced(again));
@@ -405,9 +413,9 @@
         GuardAction::Stop(order) => Some(order.clone()),
         _ => None,
     });
-    let stop = stop.expect("it is stopped there");
+    let stop = stop.expect("the run is stopped at the new incarnation");
     assert_eq!((stop.run, stop.incarnation), (start.run, 2));
-    assert!(stop.token > start.token, "earlier orders are shut out");
+    assert!(stop.token > start.token, "earlier orders are fenced");
     let stopped = GuardInput::Stopped(2, stop.run, Answer::Done(clock, ()));
     let order = lists(guard.handle(now(12), stopped)).remove(0);
     guard.handle(now(14), GuardInput::Listed(2, order, empty()));
@@ -422,11 +430,11 @@
         answer_by: now(200).instant,
     };
     guard.handle(now(15), GuardInput::Listed(2, order, empty()));
-    assert_eq!(guard.tasks(), 0, "a later list does not show it");
+    assert_eq!(guard.tasks(), 0, "a later list does not show the run");
 }
 
 #[rstest]
-fn a_stop_that_was_put_off_and_then_answered_wakes_nobody() {
+fn a_delayed_stop_sets_no_deadline_once_it_is_answered() {
     let begin = Instant::now();
     let clock = Duration::from_secs(1);
     let mut guard = usable_guard(begin);
@@ -446,11 +454,14 @@
     let now = later(begin, 200);
     guard.handle(now, GuardInput::Tick);
     let wake_at = guard.wake_at(now.instant);
-    assert!(wake_at.is_none_or(|at| at > now.instant), "it would spin");
+    assert!(
+        wake_at.is_none_or(|at| at > now.instant),
+        "the loop would spin"
+    );
 }
 
 #[rstest]
-fn late_order_reaches_an_incarnation_that_has_not_announced_itself() {
+fn late_orders_are_fenced_at_an_incarnation_that_has_not_announced_itself() {
     let begin = Instant::now();
     let mut guard = usable_guard(begin);
     let start = assign_one(&mut guard, later(begin, 1));
@@ -458,16 +469,16 @@
     let poll = lists(ticked).remove(0);
     let other = Answer::Refused(None, OrderFault::OtherIncarnation);
     let answered = GuardInput::Listed(1, poll, other.clone());
-    let shut_out = lists(guard.handle(later(begin, 101), answered)).pop();
-    let shut_out = shut_out.expect("the endpoint is asked again");
-    assert!(shut_out.token > start.token, "later orders are told apart");
-    assert_eq!(
-        shut_out.wait,
-        Duration::ZERO,
-        "and the endpoint knows at once"
+    let fencing = lists(guard.handle(later(begin, 101), answered)).pop();
+    let fencing = fencing.expect("another list order is sent");
+    assert!(
+        fencing.token > start.token,
+        "orders with the old token are refused"
     );
-    // One order is enough, and nothing starts where the agent knows no clock.
-    let answered = GuardInput::Listed(1, shut_out.clone(), other);
+    assert_eq!(fencing.wait, Duration::ZERO, "the endpoint answers at once");
+    // One such order is enough, and nothing starts while the agent does not know
+    // the clock of the new incarnation.
+    let answered = GuardInput::Listed(1, fencing.clone(), other);
     let actions = guard.handle(later(begin, 102), answered);
     assert!(lists(actions).is_empty());
     let assigned = GuardInput::Assign("entry".into(), assignment(2, "00000000000000a2"));
--- a/crates/decisions/tests/health.rs
+++ b/crates/decisions/tests/health.rs
@@ -1,4 +1,4 @@
-//! Which failures speak against an endpoint.
+//! Failures of a kind of task that count against an endpoint.
 
 use {
     chestnutrun_decisions::owner::{Health, KindFailures},
@@ -12,25 +12,25 @@
 }
 
 #[rstest]
-fn a_kind_that_fails_everywhere_sets_one_endpoint_aside_at_most() {
+fn a_kind_that_fails_everywhere_excludes_at_most_one_endpoint() {
     let now = Instant::now();
     let mut kinds = KindFailures::default();
     let mut endpoints: Vec<Health> = (0..11).map(|_| Health::default()).collect();
     for round in 0..100 {
         let number = round % 11;
-        let of = endpoint(number);
-        if kinds.record_failure(&"a".into(), &"broken".into(), &of) {
+        let endpoint_id = endpoint(number);
+        if kinds.record_failure(&"a".into(), &"broken".into(), &endpoint_id) {
             endpoints[number as usize].record_failure(now);
         }
     }
-    let aside = endpoints
+    let excluded = endpoints
         .iter()
         .filter(|health| health.max_tasks(now, 8) == 0);
-    assert!(aside.count() <= 1);
+    assert!(excluded.count() <= 1);
 }
 
 #[rstest]
-fn an_endpoint_that_fails_what_others_complete_is_set_aside_and_probed() {
+fn an_endpoint_that_fails_what_others_complete_is_excluded_and_probed() {
     let now = Instant::now();
     let mut kinds = KindFailures::default();
     let mut health = Health::default();
