--- a/crates/decisions/src/membership/claims.rs
+++ b/crates/decisions/src/membership/claims.rs
@@ -102,7 +102,7 @@
             EntryMessage::Agents(agents) => self.merge_known_agents(now, agents),
             EntryMessage::Owner(owner) => self.handle_announced_owner(now, entry, owner),
             EntryMessage::Acknowledgement(ack) => self.handle_acknowledgement(now, entry, ack),
-            EntryMessage::Vouch(request) => self.handle_vote_request(now, entry, request),
+            EntryMessage::VoteRequest(request) => self.handle_vote_request(now, entry, request),
             EntryMessage::Vouched(vote) => self.handle_vote(entry, vote),
         }
     }
--- a/crates/decisions/src/membership/messages.rs
+++ b/crates/decisions/src/membership/messages.rs
@@ -19,7 +19,7 @@
     /// The sender acknowledges an ownership of the receiver.
     Acknowledgement(Acknowledgement),
     /// The sender requests a vote on the validity of its ownership.
-    Vouch(Vouch),
+    VoteRequest(Vouch),
     /// The sender votes for the receiver's ownership.
     Vouched(Vouched),
 }
--- a/crates/decisions/src/membership/votes.rs
+++ b/crates/decisions/src/membership/votes.rs
@@ -127,7 +127,7 @@
         });
         for (voters, request) in requests {
             for voter in voters.iter().filter(|voter| **voter != me) {
-                self.send(voter, EntryMessage::Vouch(request));
+                self.send(voter, EntryMessage::VoteRequest(request));
             }
         }
     }
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -230,7 +230,7 @@
             Message::Owner(owner) => self.peer_message(now, entry, EntryMessage::Owner(owner)),
             Message::Agents(agents) => self.peer_message(now, entry, EntryMessage::Agents(agents)),
             Message::Vouch(request) => {
-                self.peer_message(now, entry, EntryMessage::Vouch(request));
+                self.peer_message(now, entry, EntryMessage::VoteRequest(request));
             }
             Message::Vouched(vote) => {
                 self.peer_message(now, entry, EntryMessage::Vouched(vote));
@@ -386,7 +386,7 @@
             EntryMessage::Acknowledgement(ack) => {
                 self.answer_entry(entry, Message::Acknowledgement(ack));
             }
-            EntryMessage::Vouch(request) => self.send_entry(entry, Message::Vouch(request)),
+            EntryMessage::VoteRequest(request) => self.send_entry(entry, Message::Vouch(request)),
             EntryMessage::Vouched(vote) => self.answer_entry(entry, Message::Vouched(vote)),
         }
     }
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -47,7 +47,7 @@
             EntryMessage::Acknowledgement(acknowledgement) => {
                 self.answer_entry(entry, Message::Acknowledgement(acknowledgement));
             }
-            EntryMessage::Vouch(question) => self.send_entry(entry, Message::Vouch(question)),
+            EntryMessage::VoteRequest(question) => self.send_entry(entry, Message::Vouch(question)),
             EntryMessage::Vouched(vouched) => self.answer_entry(entry, Message::Vouched(vouched)),
         }
     }
@@ -201,7 +201,7 @@
             }
             Message::Owner(owner) => self.entry_says(entry, EntryMessage::Owner(owner)),
             Message::Agents(agents) => self.entry_says(entry, EntryMessage::Agents(agents)),
-            Message::Vouch(question) => self.entry_says(entry, EntryMessage::Vouch(question)),
+            Message::Vouch(question) => self.entry_says(entry, EntryMessage::VoteRequest(question)),
             Message::Vouched(vouched) => self.entry_says(entry, EntryMessage::Vouched(vouched)),
             Message::Acknowledgement(acknowledgement) => {
                 let message = EntryMessage::Acknowledgement(acknowledgement);
