--- a/crates/decisions/src/membership/claims.rs
+++ b/crates/decisions/src/membership/claims.rs
@@ -103,7 +103,7 @@
             EntryMessage::Owner(owner) => self.handle_announced_owner(now, entry, owner),
             EntryMessage::Acknowledgement(ack) => self.handle_acknowledgement(now, entry, ack),
             EntryMessage::VoteRequest(request) => self.handle_vote_request(now, entry, request),
-            EntryMessage::Vouched(vote) => self.handle_vote(entry, vote),
+            EntryMessage::Vote(vote) => self.handle_vote(entry, vote),
         }
     }
 
--- a/crates/decisions/src/membership/messages.rs
+++ b/crates/decisions/src/membership/messages.rs
@@ -21,7 +21,7 @@
     /// The sender requests a vote on the validity of its ownership.
     VoteRequest(Vouch),
     /// The sender votes for the receiver's ownership.
-    Vouched(Vouched),
+    Vote(Vouched),
 }
 
 /// Inputs of the membership state machine.
--- a/crates/decisions/src/membership/votes.rs
+++ b/crates/decisions/src/membership/votes.rs
@@ -137,7 +137,7 @@
             question: pending.request,
             testimony,
         };
-        self.send(&pending.from, EntryMessage::Vouched(vote));
+        self.send(&pending.from, EntryMessage::Vote(vote));
     }
 
     fn recorded_epoch(&self, shard: ShardId) -> Option<Epoch> {
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -233,7 +233,7 @@
                 self.peer_message(now, entry, EntryMessage::VoteRequest(request));
             }
             Message::Vouched(vote) => {
-                self.peer_message(now, entry, EntryMessage::Vouched(vote));
+                self.peer_message(now, entry, EntryMessage::Vote(vote));
             }
             Message::Acknowledgement(ack) => {
                 self.peer_message(now, entry, EntryMessage::Acknowledgement(ack));
@@ -387,7 +387,7 @@
                 self.answer_entry(entry, Message::Acknowledgement(ack));
             }
             EntryMessage::VoteRequest(request) => self.send_entry(entry, Message::Vouch(request)),
-            EntryMessage::Vouched(vote) => self.answer_entry(entry, Message::Vouched(vote)),
+            EntryMessage::Vote(vote) => self.answer_entry(entry, Message::Vouched(vote)),
         }
     }
 
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -48,7 +48,7 @@
                 self.answer_entry(entry, Message::Acknowledgement(acknowledgement));
             }
             EntryMessage::VoteRequest(question) => self.send_entry(entry, Message::Vouch(question)),
-            EntryMessage::Vouched(vouched) => self.answer_entry(entry, Message::Vouched(vouched)),
+            EntryMessage::Vote(vouched) => self.answer_entry(entry, Message::Vouched(vouched)),
         }
     }
 
@@ -202,7 +202,7 @@
             Message::Owner(owner) => self.entry_says(entry, EntryMessage::Owner(owner)),
             Message::Agents(agents) => self.entry_says(entry, EntryMessage::Agents(agents)),
             Message::Vouch(question) => self.entry_says(entry, EntryMessage::VoteRequest(question)),
-            Message::Vouched(vouched) => self.entry_says(entry, EntryMessage::Vouched(vouched)),
+            Message::Vouched(vouched) => self.entry_says(entry, EntryMessage::Vote(vouched)),
             Message::Acknowledgement(acknowledgement) => {
                 let message = EntryMessage::Acknowledgement(acknowledgement);
                 self.entry_says(entry, message);
