--- a/crates/decisions/src/membership/claims.rs
+++ b/crates/decisions/src/membership/claims.rs
@@ -68,7 +68,7 @@
         let mut begun = OwnedShard::new(owner.clone(), earlier);
         begun.acknowledgements.add(self.conf.me.entry.clone());
         self.owned.insert(shard, begun);
-        self.actions.push(MembershipAction::Own {
+        self.actions.push(MembershipAction::OwnershipBegan {
             shard,
             epoch,
             written_at: now.instant,
--- a/crates/decisions/src/membership/messages.rs
+++ b/crates/decisions/src/membership/messages.rs
@@ -61,7 +61,7 @@
     /// Write the table.
     Write(TableWrite),
     /// This entry owns a shard from here on.
-    Own {
+    OwnershipBegan {
         /// The shard.
         shard: ShardId,
         /// Epoch of the ownership.
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -258,7 +258,7 @@
         match action {
             MembershipAction::Read => self.effects.push(Effect::Read),
             MembershipAction::Write(write) => self.effects.push(Effect::Write(write)),
-            MembershipAction::Own {
+            MembershipAction::OwnershipBegan {
                 epoch,
                 written_at,
                 known,
--- a/crates/entry/src/daemon/table_side.rs
+++ b/crates/entry/src/daemon/table_side.rs
@@ -35,7 +35,7 @@
         match action {
             MembershipAction::Read => self.read_table(),
             MembershipAction::Write(write) => self.write_table(write),
-            MembershipAction::Own {
+            MembershipAction::OwnershipBegan {
                 shard,
                 epoch,
                 written_at,
