--- a/crates/decisions/src/membership/membership_machine.rs
+++ b/crates/decisions/src/membership/membership_machine.rs
@@ -240,7 +240,8 @@
         }
         self.confirm_requests
             .retain(|request| request.shard != shard || request.at > at);
-        self.actions.push(MembershipAction::Owned { shard, at });
+        self.actions
+            .push(MembershipAction::OwnershipConfirmed { shard, at });
     }
 
     /// Writes this entry's row if the table lacks it, or removes the row if the
--- a/crates/decisions/src/membership/messages.rs
+++ b/crates/decisions/src/membership/messages.rs
@@ -83,7 +83,7 @@
     /// Send a message to another entry.
     Send(EntryId, EntryMessage),
     /// This entry still owned a shard at `at` or later.
-    Owned {
+    OwnershipConfirmed {
         /// The shard.
         shard: ShardId,
         /// When the read or the vote round that confirmed the ownership began.
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -270,7 +270,7 @@
             MembershipAction::Send(entry, message) => {
                 self.send_membership_message(&entry, message);
             }
-            MembershipAction::Owned { at, .. } => {
+            MembershipAction::OwnershipConfirmed { at, .. } => {
                 self.owner(now, OwnerInput::OwnershipConfirmed(at));
             }
             MembershipAction::Deposed(_) => self.owner = None,
--- a/crates/entry/src/daemon/table_side.rs
+++ b/crates/entry/src/daemon/table_side.rs
@@ -48,7 +48,7 @@
             MembershipAction::OwnerReady(shard) => {
                 self.front_input(FrontInput::OwnerReady(shard));
             }
-            MembershipAction::Owned { shard, at } => {
+            MembershipAction::OwnershipConfirmed { shard, at } => {
                 self.owner_input(shard, OwnerInput::OwnershipConfirmed(at));
             }
             MembershipAction::Deposed(shard) => self.depose(shard),
