--- a/crates/decisions/src/membership/membership_machine.rs
+++ b/crates/decisions/src/membership/membership_machine.rs
@@ -197,7 +197,7 @@
         if self.is_me(&owner) {
             self.take_ownership(now, &owner);
         } else if self.owned.shift_remove(&shard).is_some() {
-            self.actions.push(MembershipAction::Deposed(shard));
+            self.actions.push(MembershipAction::OwnershipLost(shard));
         }
         if self.newest_epochs.get(&shard) != Some(&owner.epoch) {
             self.newest_epochs.insert(shard, owner.epoch);
--- a/crates/decisions/src/membership/messages.rs
+++ b/crates/decisions/src/membership/messages.rs
@@ -90,7 +90,7 @@
         at: Instant,
     },
     /// This entry no longer owns a shard.
-    Deposed(ShardId),
+    OwnershipLost(ShardId),
     /// A shard has a new owner, which may be this entry.
     OwnerIs(ShardOwner),
     /// The owner of a shard announced that it accepts requests.
--- a/crates/decisions/tests/entry_regressions.rs
+++ b/crates/decisions/tests/entry_regressions.rs
@@ -94,7 +94,7 @@
     };
     late.owners.insert(0, row);
     let actions = read(&mut machine, late);
-    assert!(!actions.contains(&MembershipAction::Deposed(0)));
+    assert!(!actions.contains(&MembershipAction::OwnershipLost(0)));
     assert_eq!(machine.owned().collect::<Vec<_>>(), [(0, 1)]);
 }
 
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -273,7 +273,7 @@
             MembershipAction::OwnershipConfirmed { at, .. } => {
                 self.owner(now, OwnerInput::OwnershipConfirmed(at));
             }
-            MembershipAction::Deposed(_) => self.owner = None,
+            MembershipAction::OwnershipLost(_) => self.owner = None,
             MembershipAction::OwnerIs(owner) => self.front(now, FrontInput::OwnerChanged(owner)),
             MembershipAction::OwnerReady(shard) => {
                 self.front(now, FrontInput::OwnerReady(shard));
--- a/crates/entry/src/daemon/table_side.rs
+++ b/crates/entry/src/daemon/table_side.rs
@@ -51,7 +51,7 @@
             MembershipAction::OwnershipConfirmed { shard, at } => {
                 self.owner_input(shard, OwnerInput::OwnershipConfirmed(at));
             }
-            MembershipAction::Deposed(shard) => self.depose(shard),
+            MembershipAction::OwnershipLost(shard) => self.depose(shard),
             MembershipAction::OwnerIs(owner) => self.front_input(FrontInput::OwnerChanged(owner)),
             MembershipAction::Confirm(endpoint, confirmation) => {
                 self.send_agent(&endpoint, Message::Confirmation(confirmation));
