--- a/crates/decisions/src/membership/membership_machine.rs
+++ b/crates/decisions/src/membership/membership_machine.rs
@@ -201,7 +201,7 @@
         }
         if self.newest_epochs.get(&shard) != Some(&owner.epoch) {
             self.newest_epochs.insert(shard, owner.epoch);
-            self.actions.push(MembershipAction::OwnerIs(owner));
+            self.actions.push(MembershipAction::OwnerChanged(owner));
         }
     }
 
--- a/crates/decisions/src/membership/messages.rs
+++ b/crates/decisions/src/membership/messages.rs
@@ -92,7 +92,7 @@
     /// This entry no longer owns a shard.
     OwnershipLost(ShardId),
     /// A shard has a new owner, which may be this entry.
-    OwnerIs(ShardOwner),
+    OwnerChanged(ShardOwner),
     /// The owner of a shard announced that it accepts requests.
     OwnerReady(ShardId),
     /// Send a confirmation of an ownership to an agent.
--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -274,7 +274,9 @@
                 self.owner(now, OwnerInput::OwnershipConfirmed(at));
             }
             MembershipAction::OwnershipLost(_) => self.owner = None,
-            MembershipAction::OwnerIs(owner) => self.front(now, FrontInput::OwnerChanged(owner)),
+            MembershipAction::OwnerChanged(owner) => {
+                self.front(now, FrontInput::OwnerChanged(owner));
+            }
             MembershipAction::OwnerReady(shard) => {
                 self.front(now, FrontInput::OwnerReady(shard));
             }
--- a/crates/entry/src/daemon/table_side.rs
+++ b/crates/entry/src/daemon/table_side.rs
@@ -52,7 +52,9 @@
                 self.owner_input(shard, OwnerInput::OwnershipConfirmed(at));
             }
             MembershipAction::OwnershipLost(shard) => self.depose(shard),
-            MembershipAction::OwnerIs(owner) => self.front_input(FrontInput::OwnerChanged(owner)),
+            MembershipAction::OwnerChanged(owner) => {
+                self.front_input(FrontInput::OwnerChanged(owner));
+            }
             MembershipAction::Confirm(endpoint, confirmation) => {
                 self.send_agent(&endpoint, Message::Confirmation(confirmation));
             }
