--- a/crates/decisions/src/guard/messages.rs
+++ b/crates/decisions/src/guard/messages.rs
@@ -72,7 +72,7 @@
     /// The endpoint has too little free room.
     NoRoom,
     /// The endpoint is unhealthy or unreachable; it did not carry out the order.
-    Unwell,
+    Unhealthy,
     /// Another incarnation of the endpoint answered.
     OtherIncarnation,
     /// The endpoint rejected the order as invalid.
@@ -88,7 +88,7 @@
             Self::OldRun => "old-run",
             Self::LeaseOver => "lease-over",
             Self::NoRoom => "no-room",
-            Self::Unwell => "unwell",
+            Self::Unhealthy => "unwell",
             Self::OtherIncarnation => "other-incarnation",
             Self::Invalid => "invalid",
         }
--- a/crates/decisions/tests/guard.rs
+++ b/crates/decisions/tests/guard.rs
@@ -161,7 +161,7 @@
     let mut asked = orders.len();
     for millis in (0..1_000).step_by(10) {
         while let Some(order) = orders.pop() {
-            let refused = Answer::Refused(None, OrderFault::Unwell);
+            let refused = Answer::Refused(None, OrderFault::Unhealthy);
             let input = GuardInput::Listed(order.incarnation, order, refused);
             orders.extend(lists(guard.handle(now(millis), input)));
             asked += orders.len();
@@ -196,7 +196,7 @@
 impl ImmediateFailure {
     fn answer<T>(self) -> Answer<T> {
         match self {
-            Self::Refused => Answer::Refused(None, OrderFault::Unwell),
+            Self::Refused => Answer::Refused(None, OrderFault::Unhealthy),
             Self::Broken => Answer::Unknown,
         }
     }
@@ -444,7 +444,7 @@
     let assignments = vec![1];
     let revoked = GuardInput::Revoke("entry".into(), Revocation { assignments });
     guard.handle(later(begin, 2), revoked);
-    let refused = Answer::Refused(None, OrderFault::Unwell);
+    let refused = Answer::Refused(None, OrderFault::Unhealthy);
     guard.handle(later(begin, 3), GuardInput::Stopped(1, run, refused));
     let mut again = announcement();
     again.info.incarnation = 2;
