--- a/crates/decisions/src/guard/guard_machine.rs
+++ b/crates/decisions/src/guard/guard_machine.rs
@@ -156,7 +156,7 @@
     }
 
     pub(super) fn record_decision(&mut self, note: DecisionNote) {
-        self.actions.push(GuardAction::Note(note));
+        self.actions.push(GuardAction::Record(note));
     }
 
     pub(super) fn mark_stale(&mut self) {
--- a/crates/decisions/src/guard/messages.rs
+++ b/crates/decisions/src/guard/messages.rs
@@ -234,5 +234,5 @@
     /// List the runs and renew their lease.
     List(ListOrder),
     /// Write a decision to the log.
-    Note(DecisionNote),
+    Record(DecisionNote),
 }
--- a/crates/decisions/tests/best_effort_site/orders.rs
+++ b/crates/decisions/tests/best_effort_site/orders.rs
@@ -15,7 +15,7 @@
     pub(super) fn agent_action(&mut self, number: usize, action: GuardAction) {
         self.trace(&(Node::Agent(number), &action));
         match action {
-            GuardAction::Note(_) => {}
+            GuardAction::Record(_) => {}
             GuardAction::Send(entry, message) => {
                 let entry = entry_number(&entry);
                 let link = self.links[number][entry];
--- a/crates/decisions/tests/guard.rs
+++ b/crates/decisions/tests/guard.rs
@@ -207,7 +207,7 @@
             GuardAction::Start(order) => Some(GuardInput::Started(1, order.run, self.answer())),
             GuardAction::Stop(order) => Some(GuardInput::Stopped(1, order.run, self.answer())),
             GuardAction::List(order) => Some(GuardInput::Listed(1, order, self.answer())),
-            GuardAction::Send(..) | GuardAction::Note(_) => None,
+            GuardAction::Send(..) | GuardAction::Record(_) => None,
         }
     }
 }
--- a/crates/dispatch/src/agent_loop.rs
+++ b/crates/dispatch/src/agent_loop.rs
@@ -369,7 +369,7 @@
 
     fn run_action(&mut self, action: GuardAction) {
         match action {
-            GuardAction::Note(note) => self.recorder.record(Now::read(), note),
+            GuardAction::Record(note) => self.recorder.record(Now::read(), note),
             GuardAction::Send(entry, message) => {
                 if let Some(id) = self.link_by_entry.get(&entry) {
                     self.send(*id, to_wire(message));
