--- a/crates/decisions/src/guard/guard_machine.rs
+++ b/crates/decisions/src/guard/guard_machine.rs
@@ -102,7 +102,7 @@
     /// Returns the next deadline: a delayed update, a task that has waited too
     /// long, a stop that is sent again, or an immediate list.
     #[must_use]
-    pub fn wake_at(&self, now: Instant) -> Option<Instant> {
+    pub fn next_wakeup(&self, now: Instant) -> Option<Instant> {
         let room_of = self.room_by_position(now);
         let zone = self.zone();
         let entries = self.entries.values().enumerate();
--- a/crates/decisions/tests/best_effort_site/site.rs
+++ b/crates/decisions/tests/best_effort_site/site.rs
@@ -417,9 +417,9 @@
         for action in self.agents[number].machine.handle(now, input) {
             self.agent_action(number, action);
         }
-        let wake_at = self.agents[number].machine.wake_at(now.instant);
+        let next_wakeup = self.agents[number].machine.next_wakeup(now.instant);
         assert!(
-            !is_tick || wake_at.is_none_or(|at| at > now.instant),
+            !is_tick || next_wakeup.is_none_or(|at| at > now.instant),
             "agent {number} has an elapsed deadline after a tick and would spin"
         );
     }
--- a/crates/decisions/tests/guard.rs
+++ b/crates/decisions/tests/guard.rs
@@ -331,9 +331,9 @@
             let poll = endpoint.answer_poll();
             actions.extend(poll.map_or_else(Vec::new, |input| guard.handle(now(millis), input)));
             actions.extend(guard.handle(now(millis), GuardInput::Tick));
-            let wake_at = guard.wake_at(now(millis).instant);
+            let next_wakeup = guard.next_wakeup(now(millis).instant);
             assert!(
-                wake_at.is_none_or(|at| at > now(millis).instant),
+                next_wakeup.is_none_or(|at| at > now(millis).instant),
                 "the loop would spin"
             );
         }
@@ -374,7 +374,7 @@
     // The long poll is never answered.
     for millis in 1..=END_KNOWN_WITHIN_MS {
         let is_due = guard
-            .wake_at(now(millis).instant)
+            .next_wakeup(now(millis).instant)
             .is_some_and(|at| at <= now(millis).instant);
         if !is_due {
             continue;
@@ -453,9 +453,9 @@
     guard.handle(later(begin, 12), stopped);
     let now = later(begin, 200);
     guard.handle(now, GuardInput::Tick);
-    let wake_at = guard.wake_at(now.instant);
+    let next_wakeup = guard.next_wakeup(now.instant);
     assert!(
-        wake_at.is_none_or(|at| at > now.instant),
+        next_wakeup.is_none_or(|at| at > now.instant),
         "the loop would spin"
     );
 }
--- a/crates/dispatch/src/agent_loop.rs
+++ b/crates/dispatch/src/agent_loop.rs
@@ -163,12 +163,12 @@
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         self.recorder.record_process("started", 0);
         while !self.is_done() {
-            let wake_at = self.guard.wake_at(Now::read().instant);
+            let next_wakeup = self.guard.next_wakeup(Now::read().instant);
             tokio::select! {
                 Some(event) = rx.recv() => self.handle_event(event),
                 Some(event) = links.recv() => self.handle_link_event(event),
                 Some(event) = directory_events.recv() => self.handle_directory_event(event),
-                () = wait_until(wake_at) => self.handle_input(GuardInput::Tick),
+                () = wait_until(next_wakeup) => self.handle_input(GuardInput::Tick),
                 _ = tick.tick() => self.tick(),
                 _ = terminate.recv() => self.start_shutdown(),
                 _ = hang_up.recv() => self.reload(),
