--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -182,7 +182,7 @@
                     &endpoint,
                     detail,
                 );
-                self.input(AgentInput::Ran(task, outcome));
+                self.input(AgentInput::RunEnded(task, outcome));
             }
             Event::Page(page, reply) => {
                 // An operator who went away needs no page.
--- a/crates/decisions/src/agent/agent_machine.rs
+++ b/crates/decisions/src/agent/agent_machine.rs
@@ -66,7 +66,7 @@
             AgentInput::Fence(entry, fence) => self.handle_fence(now, &entry, &fence),
             AgentInput::Start(entry, start) => self.handle_start(now, &entry, start),
             AgentInput::Lookup(entry, lookup) => self.handle_lookup(now, &entry, lookup),
-            AgentInput::Ran(task, outcome) => self.handle_run_outcome(&task, outcome),
+            AgentInput::RunEnded(task, outcome) => self.handle_run_outcome(&task, outcome),
             AgentInput::Configured { revision, draining } => {
                 self.apply_configuration(revision, draining);
                 Vec::new()
--- a/crates/decisions/src/agent/messages.rs
+++ b/crates/decisions/src/agent/messages.rs
@@ -34,7 +34,7 @@
     /// An owner requests the records of a job, and may void starts.
     Lookup(EntryId, Lookup),
     /// A run at the endpoint ended.
-    Ran(TaskRef, RunOutcome),
+    RunEnded(TaskRef, RunOutcome),
     /// Operators drained the endpoint or returned it to service.
     Configured {
         /// Revision of the configuration.
--- a/crates/decisions/tests/agent_records.rs
+++ b/crates/decisions/tests/agent_records.rs
@@ -96,7 +96,7 @@
     send_start(&mut agent, BODY);
     let task = start(Now::read(), BODY).task;
     let outcome = RunOutcome::Completed("done".to_owned());
-    agent.handle(Now::read(), AgentInput::Ran(task, outcome));
+    agent.handle(Now::read(), AgentInput::RunEnded(task, outcome));
     assert!(is_refused_for_its_body(&send_start(&mut agent, OTHER_BODY)));
     let again = send_start(&mut agent, BODY);
     assert!(matches!(
--- a/crates/decisions/tests/fake_site/site.rs
+++ b/crates/decisions/tests/fake_site/site.rs
@@ -404,7 +404,7 @@
                 input
             }
             Event::Message(link, message) => agent.message(link, message),
-            Event::TaskEnded(task, outcome) => Some(AgentInput::Ran(task, outcome)),
+            Event::TaskEnded(task, outcome) => Some(AgentInput::RunEnded(task, outcome)),
             _ => None,
         };
         let Some(input) = input else {
