--- a/crates/decisions/src/guard/guard_machine.rs
+++ b/crates/decisions/src/guard/guard_machine.rs
@@ -53,7 +53,7 @@
         let at = now.instant;
         match input {
             GuardInput::Announced(announcement) => self.handle_announcement(at, announcement),
-            GuardInput::Ended(endpoint) => self.handle_endpoint_end(at, &endpoint),
+            GuardInput::EndpointEnded(endpoint) => self.handle_endpoint_end(at, &endpoint),
             GuardInput::LinkUp(entry, incarnation, zone) => {
                 self.link_up(at, entry, incarnation, zone);
             }
--- a/crates/decisions/src/guard/messages.rs
+++ b/crates/decisions/src/guard/messages.rs
@@ -37,7 +37,7 @@
     /// The endpoint announced itself.
     Announced(Announcement),
     /// The endpoint reported its end.
-    Ended(EndpointId),
+    EndpointEnded(EndpointId),
     /// A link to an incarnation of an entry in an availability zone opened.
     LinkUp(EntryId, Incarnation, ZoneId),
     /// The link to an entry closed.
--- a/crates/dispatch/src/agent_loop.rs
+++ b/crates/dispatch/src/agent_loop.rs
@@ -236,7 +236,7 @@
     fn handle_event(&mut self, event: AgentEvent) {
         match event {
             AgentEvent::Announced(announced) => self.handle_input(GuardInput::Announced(announced)),
-            AgentEvent::Ended(endpoint) => self.handle_input(GuardInput::Ended(endpoint)),
+            AgentEvent::Ended(endpoint) => self.handle_input(GuardInput::EndpointEnded(endpoint)),
             AgentEvent::Answered(input) => self.handle_input(input),
             AgentEvent::Metrics(reply) => {
                 // Sending fails if the request for the metrics was dropped.
