--- a/crates/decisions/src/guard/lists.rs
+++ b/crates/decisions/src/guard/lists.rs
@@ -209,7 +209,7 @@
             endpoint: endpoint.info.endpoint.clone(),
             incarnation: endpoint.info.incarnation,
             until,
-            seen: endpoint.last_end,
+            last_seen_end: endpoint.last_end,
             wait,
             token: self.token,
             sent_at: now,
