--- a/crates/decisions/src/agent/task_records.rs
+++ b/crates/decisions/src/agent/task_records.rs
@@ -74,8 +74,8 @@
         job.started.insert(start.task.index, (record, number));
     }
 
-    /// Records the end of a run; returns the digest of the submission's body, or none
-    /// if the task was not running.
+    /// Records the end of a run; returns the digest of the submission's body, or
+    /// none if the task was not running.
     pub fn record_end(&mut self, task: &TaskRef, outcome: TaskOutcome) -> Option<BodyDigest> {
         let record = self.running_record(task)?;
         record.state = RecordState::Ended(outcome);
--- a/crates/decisions/src/membership/agent_runs.rs
+++ b/crates/decisions/src/membership/agent_runs.rs
@@ -16,14 +16,15 @@
     runs: IndexMap<(EndpointId, Incarnation), TrackedRun>,
     /// Whether every run that may hold records is known.
     complete: bool,
-    /// When every run that still holds records has been seen by this process.
+    /// When the runs count as complete, one `RECORD_WINDOW` after the first tick.
     complete_at: Option<Instant>,
 }
 
-/// A run, and when it is removed; none while the agent is linked.
+/// A run of an agent.
 #[derive(Debug)]
 struct TrackedRun {
     run: KnownRun,
+    /// When the run is removed; none while the agent is linked.
     expires_at: Option<Instant>,
 }
 
--- a/crates/decisions/tests/agent_records.rs
+++ b/crates/decisions/tests/agent_records.rs
@@ -1,4 +1,4 @@
-//! Repeated starts are answered from an agent's records.
+//! Tests that repeated starts are answered from an agent's records.
 
 use {
     chestnutrun_decisions::agent::{
