--- a/crates/decisions/tests/fake_site/entry.rs
+++ b/crates/decisions/tests/fake_site/entry.rs
@@ -230,10 +230,10 @@
             Message::Owner(owner) => self.peer_message(now, entry, EntryMessage::Owner(owner)),
             Message::Agents(agents) => self.peer_message(now, entry, EntryMessage::Agents(agents)),
             Message::VoteRequest(request) => {
-                self.peer_message(now, entry, EntryMessage::Vouch(request));
+                self.peer_message(now, entry, EntryMessage::VoteRequest(request));
             }
             Message::Vote(vote) => {
-                self.peer_message(now, entry, EntryMessage::Vouched(vote));
+                self.peer_message(now, entry, EntryMessage::Vote(vote));
             }
             Message::Acknowledgement(ack) => {
                 self.peer_message(now, entry, EntryMessage::Acknowledgement(ack));
@@ -258,7 +258,7 @@
         match action {
             MembershipAction::Read => self.effects.push(Effect::Read),
             MembershipAction::Write(write) => self.effects.push(Effect::Write(write)),
-            MembershipAction::Own {
+            MembershipAction::OwnershipBegan {
                 epoch,
                 written_at,
                 known,
@@ -270,11 +270,13 @@
             MembershipAction::Send(entry, message) => {
                 self.send_membership_message(&entry, message);
             }
-            MembershipAction::Owned { at, .. } => {
+            MembershipAction::OwnershipConfirmed { at, .. } => {
                 self.owner(now, OwnerInput::OwnershipConfirmed(at));
             }
-            MembershipAction::Deposed(_) => self.owner = None,
-            MembershipAction::OwnerIs(owner) => self.front(now, FrontInput::OwnerChanged(owner)),
+            MembershipAction::OwnershipLost(_) => self.owner = None,
+            MembershipAction::OwnerChanged(owner) => {
+                self.front(now, FrontInput::OwnerChanged(owner));
+            }
             MembershipAction::OwnerReady(shard) => {
                 self.front(now, FrontInput::OwnerReady(shard));
             }
@@ -386,8 +388,10 @@
             EntryMessage::Acknowledgement(ack) => {
                 self.answer_entry(entry, Message::Acknowledgement(ack));
             }
-            EntryMessage::Vouch(request) => self.send_entry(entry, Message::VoteRequest(request)),
-            EntryMessage::Vouched(vote) => self.answer_entry(entry, Message::Vote(vote)),
+            EntryMessage::VoteRequest(request) => {
+                self.send_entry(entry, Message::VoteRequest(request));
+            }
+            EntryMessage::Vote(vote) => self.answer_entry(entry, Message::Vote(vote)),
         }
     }
 
--- a/crates/dispatch/src/agent_loop.rs
+++ b/crates/dispatch/src/agent_loop.rs
@@ -163,12 +163,12 @@
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         self.recorder.record_process("started", 0);
         while !self.is_done() {
-            let wake_at = self.guard.wake_at(Now::read().instant);
+            let next_wakeup = self.guard.next_wakeup(Now::read().instant);
             tokio::select! {
                 Some(event) = rx.recv() => self.handle_event(event),
                 Some(event) = links.recv() => self.handle_link_event(event),
                 Some(event) = directory_events.recv() => self.handle_directory_event(event),
-                () = wait_until(wake_at) => self.handle_input(GuardInput::Tick),
+                () = wait_until(next_wakeup) => self.handle_input(GuardInput::Tick),
                 _ = tick.tick() => self.tick(),
                 _ = terminate.recv() => self.start_shutdown(),
                 _ = hang_up.recv() => self.reload(),
@@ -236,7 +236,7 @@
     fn handle_event(&mut self, event: AgentEvent) {
         match event {
             AgentEvent::Announced(announced) => self.handle_input(GuardInput::Announced(announced)),
-            AgentEvent::Ended(endpoint) => self.handle_input(GuardInput::Ended(endpoint)),
+            AgentEvent::Ended(endpoint) => self.handle_input(GuardInput::EndpointEnded(endpoint)),
             AgentEvent::Answered(input) => self.handle_input(input),
             AgentEvent::Metrics(reply) => {
                 // Sending fails if the request for the metrics was dropped.
@@ -369,7 +369,7 @@
 
     fn run_action(&mut self, action: GuardAction) {
         match action {
-            GuardAction::Note(note) => self.recorder.record(Now::read(), note),
+            GuardAction::Record(note) => self.recorder.record(Now::read(), note),
             GuardAction::Send(entry, message) => {
                 if let Some(id) = self.link_by_entry.get(&entry) {
                     self.send(*id, to_wire(message));
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -47,8 +47,10 @@
             EntryMessage::Acknowledgement(acknowledgement) => {
                 self.answer_entry(entry, Message::Acknowledgement(acknowledgement));
             }
-            EntryMessage::Vouch(question) => self.send_entry(entry, Message::VoteRequest(question)),
-            EntryMessage::Vouched(vouched) => self.answer_entry(entry, Message::Vote(vouched)),
+            EntryMessage::VoteRequest(question) => {
+                self.send_entry(entry, Message::VoteRequest(question));
+            }
+            EntryMessage::Vote(vouched) => self.answer_entry(entry, Message::Vote(vouched)),
         }
     }
 
@@ -201,8 +203,10 @@
             }
             Message::Owner(owner) => self.entry_says(entry, EntryMessage::Owner(owner)),
             Message::Agents(agents) => self.entry_says(entry, EntryMessage::Agents(agents)),
-            Message::VoteRequest(question) => self.entry_says(entry, EntryMessage::Vouch(question)),
-            Message::Vote(vouched) => self.entry_says(entry, EntryMessage::Vouched(vouched)),
+            Message::VoteRequest(question) => {
+                self.entry_says(entry, EntryMessage::VoteRequest(question));
+            }
+            Message::Vote(vouched) => self.entry_says(entry, EntryMessage::Vote(vouched)),
             Message::Acknowledgement(acknowledgement) => {
                 let message = EntryMessage::Acknowledgement(acknowledgement);
                 self.entry_says(entry, message);
--- a/crates/entry/src/daemon/table_side.rs
+++ b/crates/entry/src/daemon/table_side.rs
@@ -35,7 +35,7 @@
         match action {
             MembershipAction::Read => self.read_table(),
             MembershipAction::Write(write) => self.write_table(write),
-            MembershipAction::Own {
+            MembershipAction::OwnershipBegan {
                 shard,
                 epoch,
                 written_at,
@@ -48,11 +48,13 @@
             MembershipAction::OwnerReady(shard) => {
                 self.front_input(FrontInput::OwnerReady(shard));
             }
-            MembershipAction::Owned { shard, at } => {
+            MembershipAction::OwnershipConfirmed { shard, at } => {
                 self.owner_input(shard, OwnerInput::OwnershipConfirmed(at));
             }
-            MembershipAction::Deposed(shard) => self.depose(shard),
-            MembershipAction::OwnerIs(owner) => self.front_input(FrontInput::OwnerChanged(owner)),
+            MembershipAction::OwnershipLost(shard) => self.depose(shard),
+            MembershipAction::OwnerChanged(owner) => {
+                self.front_input(FrontInput::OwnerChanged(owner));
+            }
             MembershipAction::Confirm(endpoint, confirmation) => {
                 self.send_agent(&endpoint, Message::Confirmation(confirmation));
             }
