--- a/crates/decisions/src/guard/lists.rs
+++ b/crates/decisions/src/guard/lists.rs
@@ -209,7 +209,7 @@
             endpoint: endpoint.info.endpoint.clone(),
             incarnation: endpoint.info.incarnation,
             until,
-            last_seen_end: endpoint.last_end,
+            last_processed_end: endpoint.last_end,
             wait,
             token: self.token,
             sent_at: now,
--- a/crates/decisions/src/guard/messages.rs
+++ b/crates/decisions/src/guard/messages.rs
@@ -148,7 +148,7 @@
 pub struct ListReply {
     /// Runs in progress.
     pub running: Vec<ListedRun>,
-    /// Ended runs with numbers above [`ListOrder::last_seen_end`].
+    /// Ended runs with numbers above [`ListOrder::last_processed_end`].
     pub ended: Vec<ListedEnd>,
 }
 
@@ -200,7 +200,7 @@
     /// End of the lease, on the endpoint's clock; none leaves the lease unchanged.
     pub until: Option<EndpointTime>,
     /// Number of the last processed end; the reply lists only later ones.
-    pub last_seen_end: EndNumber,
+    pub last_processed_end: EndNumber,
     /// How long the endpoint may wait for an end before it answers.
     pub wait: Duration,
     /// Token of the agent.
--- a/crates/decisions/tests/best_effort_site/endpoint.rs
+++ b/crates/decisions/tests/best_effort_site/endpoint.rs
@@ -232,7 +232,7 @@
         let ended = self
             .ends
             .iter()
-            .filter(|end| end.number > order.last_seen_end)
+            .filter(|end| end.number > order.last_processed_end)
             .cloned()
             .collect();
         self.done(at, ListReply { running, ended })
@@ -240,7 +240,9 @@
 
     /// Returns whether a list order that waits for ended runs has an answer now.
     pub fn has_ends(&self, order: &ListOrder) -> bool {
-        self.ends.iter().any(|end| end.number > order.last_seen_end)
+        self.ends
+            .iter()
+            .any(|end| end.number > order.last_processed_end)
     }
 
     fn percent(&self, at: Millis, running: &Running) -> u32 {
--- a/crates/decisions/tests/guard.rs
+++ b/crates/decisions/tests/guard.rs
@@ -134,7 +134,7 @@
         endpoint: "endpoint".into(),
         incarnation: 1,
         until: None,
-        last_seen_end: 0,
+        last_processed_end: 0,
         wait: Duration::from_millis(150),
         token: 1,
         sent_at: begin,
@@ -290,13 +290,13 @@
         None
     }
 
-    /// Answers the newest long poll with the ends after its `last_seen_end`.
+    /// Answers the newest long poll with the ends after its `last_processed_end`.
     fn answer_poll(&mut self) -> Option<GuardInput> {
         let order = self.polls.pop()?;
         let new_ends = self
             .ended
             .iter()
-            .filter(|end| end.number > order.last_seen_end);
+            .filter(|end| end.number > order.last_processed_end);
         let reply = ListReply {
             running: Vec::new(),
             ended: new_ends.cloned().collect(),
@@ -426,7 +426,7 @@
         endpoint: "endpoint".into(),
         incarnation: 2,
         until: None,
-        last_seen_end: 0,
+        last_processed_end: 0,
         wait: Duration::from_millis(150),
         token: stop.token,
         sent_at: now(13).instant,
