--- a/crates/bench/src/scenario/calls.rs
+++ b/crates/bench/src/scenario/calls.rs
@@ -93,7 +93,10 @@
             let reply = async move {
                 match call {
                     Call::Cancel => cancel(&client, callers, &of).await.ok(),
-                    _ => client.ask(callers, &of.contract, &of.key, &wait).await.ok(),
+                    _ => client
+                        .fetch_job(callers, &of.contract, &of.key, &wait)
+                        .await
+                        .ok(),
                 }
             };
             self.call(&step.name, call, &submission, reply);
--- a/crates/bench/src/scenario/faults.rs
+++ b/crates/bench/src/scenario/faults.rs
@@ -55,7 +55,7 @@
         self.signal(names, "TERM")?;
         let by = Instant::now() + STOP_WITHIN;
         for name in names {
-            while self.process(name)?.ended().is_none() {
+            while self.process(name)?.exit_status().is_none() {
                 if Instant::now() >= by {
                     return Err(ScenarioError::TooLate(format!("stop of {name}")));
                 }
--- a/crates/bench/src/site/client.rs
+++ b/crates/bench/src/site/client.rs
@@ -1,4 +1,4 @@
-//! Client of a site: what callers and operators would send.
+//! HTTP client of a site; it sends the requests of callers and operators.
 
 use {
     crate::site::SiteError,
@@ -14,31 +14,31 @@
     std::{fmt, net::SocketAddr},
 };
 
-/// Most connections to one address.
+/// Largest number of connections to one address.
 const MAX_CONNECTIONS: usize = 2_048;
 
-/// Longest answer, in bytes.
+/// Largest body of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// Longest time for an answer, in milliseconds.
+/// Time limit for an answer.
 const ANSWER_TIMEOUT: Millis = Millis(90_000);
 
-/// An answer of the site.
+/// The answer of a process of the site to one HTTP request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HttpReply {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
-    /// Body, where it is JSON.
+    /// Body as JSON; a body that isn't JSON is a string.
     pub body: Value,
-    /// Value of `Retry-After`, where there is one.
+    /// Value of the `Retry-After` header, if present.
     pub retry_after: Option<String>,
-    /// Value of `Location`, where there is one.
+    /// Value of the `Location` header, if present.
     pub location: Option<String>,
-    /// Media type of the body, without parameters.
+    /// Media type of the body, without parameters, if present.
     pub media_type: Option<String>,
 }
 
-/// Client of a site.
+/// Sends HTTP requests to the processes of a site.
 #[derive(Clone)]
 pub struct SiteClient {
     client: Client,
@@ -52,10 +52,10 @@
 }
 
 impl SiteClient {
-    /// Makes a client.
+    /// Creates a client whose operators' requests carry `operator_token`.
     ///
     /// # Errors
-    /// Returns an error where the client cannot be set up.
+    /// Returns an error if the HTTP client cannot be set up.
     pub async fn new(operator_token: impl Into<String>) -> Result<Self, SiteError> {
         let client = Client::builder()
             .connector::<&str>(Connector::default().limit(MAX_CONNECTIONS))
@@ -70,16 +70,16 @@
         })
     }
 
-    /// Returns the header value with the operators' token.
+    /// Returns the value of the `Authorization` header for operators.
     #[must_use]
     pub fn operator_header(&self) -> String {
         format!("Bearer {}", self.operator_token)
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the answer with its whole body.
     ///
     /// # Errors
-    /// Returns an error where no whole answer comes.
+    /// Returns an error if the request fails or the body is incomplete.
     pub async fn send(
         &self,
         method: Method,
@@ -91,11 +91,11 @@
         for (name, value) in headers {
             req = req.header(*name, *value);
         }
-        let failed = |e: String| SiteError::NoAnswer(url.clone(), e);
+        let no_answer = |e: String| SiteError::NoAnswer(url.clone(), e);
         let res = req
             .send_body(body)
             .await
-            .map_err(|e| failed(e.to_string()))?;
+            .map_err(|e| no_answer(e.to_string()))?;
         let header = |name: &str| {
             let value = res.headers().get(name)?;
             value.to_str().ok().map(str::to_owned)
@@ -105,7 +105,7 @@
         let media_type =
             media_type.map(|value| value.split(';').next().unwrap_or_default().to_owned());
         let status = res.status().as_u16();
-        let buf = res.body().await.map_err(|e| failed(e.to_string()))?;
+        let buf = res.body().await.map_err(|e| no_answer(e.to_string()))?;
         let text = || Value::String(String::from_utf8_lossy(&buf).into_owned());
         Ok(HttpReply {
             status,
@@ -116,10 +116,10 @@
         })
     }
 
-    /// Submits a job and waits for its answer.
+    /// Submits a job under the idempotency key `key` and waits for the answer.
     ///
     /// # Errors
-    /// Returns an error where no answer comes.
+    /// Returns an error if no answer comes.
     pub async fn submit(
         &self,
         callers: SocketAddr,
@@ -139,11 +139,13 @@
         self.send(Method::POST, url, &headers, body).await
     }
 
-    /// Asks for a job's answer.
+    /// Requests the state of a job, with its outcomes once it has ended.
+    ///
+    /// `wait` is how long the entry may wait for the end, such as `10s`.
     ///
     /// # Errors
-    /// Returns an error where no answer comes.
-    pub async fn ask(
+    /// Returns an error if no answer comes.
+    pub async fn fetch_job(
         &self,
         callers: SocketAddr,
         contract: &str,
@@ -156,10 +158,10 @@
         self.send(Method::GET, url, &headers, String::new()).await
     }
 
-    /// Sends an operator's request.
+    /// Sends a request with the operators' token.
     ///
     /// # Errors
-    /// Returns an error where no answer comes.
+    /// Returns an error if no answer comes.
     pub async fn operate(
         &self,
         method: Method,
@@ -176,10 +178,10 @@
         self.send(method, url, &headers, body).await
     }
 
-    /// Creates a contract.
+    /// Creates a contract through an entry.
     ///
     /// # Errors
-    /// Returns an error where the entry does not accept it.
+    /// Returns an error if the entry does not accept the contract.
     pub async fn create_contract(
         &self,
         operators: SocketAddr,
@@ -201,7 +203,9 @@
     }
 }
 
-/// Returns the header value with a contract's token on sites of the bench.
+/// Returns the value of the `Authorization` header for callers of a contract.
+///
+/// Sites of the bench give every contract the token `token-of-` and its id.
 fn caller_token(contract: &str) -> String {
     format!("Bearer token-of-{contract}")
 }
--- a/crates/bench/src/site/launch.rs
+++ b/crates/bench/src/site/launch.rs
@@ -1,4 +1,4 @@
-//! Brings a site up and takes it down.
+//! Starts and stops the processes of a site.
 
 use {
     crate::site::{Relay, SiteClient, SiteError, SitePlan, SiteProcess},
@@ -12,50 +12,50 @@
     tokio::time::{sleep, timeout},
 };
 
-/// Token of operators on sites of the bench.
+/// Token that operators send to sites of the bench.
 const OPERATOR_TOKEN: &str = "operators-of-the-bench";
 
-/// Secret of the processes on sites of the bench.
+/// Token that the processes of a site on the bench send to each other.
 pub(crate) const SITE_TOKEN: &str = "site-of-the-bench";
 
-/// How long a site may take to become ready.
+/// Time limit for a site to become ready, and for a contract to come into force.
 const READY_WITHIN: Duration = Duration::from_secs(20);
 
-/// How long an entry may take to tell its status.
+/// Time limit for the status request to an entry.
 const STATUS_WITHIN: Duration = Duration::from_millis(100);
 
-/// How often readiness is asked for.
+/// Pause between two checks for readiness.
 const READY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running site; its processes are killed when it is dropped.
 #[derive(Debug)]
 pub struct Site {
-    /// What it consists of.
+    /// Sizes and addresses of the site.
     pub plan: SitePlan,
-    /// Client for callers and operators.
+    /// Client for requests of callers and operators.
     pub client: SiteClient,
-    /// The table's stand-in.
+    /// The stand-in for the table.
     pub table: SiteProcess,
-    /// The entries.
+    /// The entries, by number.
     pub entries: Vec<SiteProcess>,
-    /// The agents.
+    /// The agents, by the number of their endpoint.
     pub agents: Vec<SiteProcess>,
-    /// The endpoints' stand-ins.
+    /// The stand-ins for the endpoints, by number.
     pub endpoints: Vec<SiteProcess>,
-    /// The relays before the entries, where links are led through relays.
+    /// The relay in front of each entry; empty unless the plan is relayed.
     pub relays: Vec<Relay>,
     folder: PathBuf,
 }
 
 impl Site {
-    /// Brings a site up and waits until every endpoint can be used.
+    /// Starts a site and waits until an entry serves with every endpoint.
     ///
     /// # Errors
-    /// Returns an error where a process does not start or become ready.
+    /// Returns an error if a process does not start or become ready.
     pub async fn start(plan: SitePlan) -> Result<Self, SiteError> {
-        let folder = folder(&plan)?;
-        write(&folder, "site.token", SITE_TOKEN)?;
-        write(&folder, "operator.token", OPERATOR_TOKEN)?;
+        let folder = create_folder(&plan)?;
+        write_file(&folder, "site.token", SITE_TOKEN)?;
+        write_file(&folder, "operator.token", OPERATOR_TOKEN)?;
         let table = start_table(&plan, &folder)?;
         let mut site = Self {
             client: SiteClient::new(OPERATOR_TOKEN).await?,
@@ -84,7 +84,7 @@
         Ok(site)
     }
 
-    /// Returns the folder with settings and logs.
+    /// Returns the folder with the settings and logs of the processes.
     #[must_use]
     pub fn folder(&self) -> &Path {
         &self.folder
@@ -96,43 +96,43 @@
         std::env::temp_dir().join(format!("chestnutrun-{}", plan.ip))
     }
 
-    /// Starts to build a contract with the token that the client sends.
+    /// Returns a builder of a contract with the token that [`SiteClient`] sends.
     #[must_use]
     pub fn contract(id: &str) -> ContractBuilder {
         Contract::builder(id).token_hash(Contract::hash_token(&format!("token-of-{id}")))
     }
 
-    /// Creates a contract and waits until every live entry has it.
+    /// Creates a contract and waits until every entry shows it.
     ///
     /// # Errors
-    /// Returns an error where the contract does not come into force.
+    /// Returns an error if the contract is refused, or not in force in time.
     pub async fn create_contract(&self, contract: &Contract) -> Result<(), SiteError> {
         let operators = self.plan.entry_operators(0);
         self.client.create_contract(operators, contract).await?;
-        let by = Instant::now() + READY_WITHIN;
+        let deadline = Instant::now() + READY_WITHIN;
         for number in 0..self.plan.entries {
             while !self.has_contract(number, &contract.id).await {
-                wait_a_little(by, "contract").await?;
+                pause_until_retry(deadline, "contract").await?;
             }
         }
         Ok(())
     }
 
-    /// Waits until one entry serves with that many usable endpoints.
+    /// Waits until one entry serves with at least `endpoints` usable endpoints.
     ///
     /// # Errors
-    /// Returns an error where that takes too long.
+    /// Returns an error if no entry does so in time.
     pub async fn wait_until_serving(&self, endpoints: usize) -> Result<(), SiteError> {
-        let by = Instant::now() + READY_WITHIN;
+        let deadline = Instant::now() + READY_WITHIN;
         loop {
             if self.is_serving(endpoints).await {
                 return Ok(());
             }
-            wait_a_little(by, "site").await?;
+            pause_until_retry(deadline, "site").await?;
         }
     }
 
-    /// Whether one entry serves with that many usable endpoints.
+    /// Returns whether one entry serves with at least `endpoints` usable endpoints.
     pub async fn is_serving(&self, endpoints: usize) -> bool {
         for number in 0..self.plan.entries {
             if self.usable_endpoints(number).await >= endpoints {
@@ -142,13 +142,13 @@
         false
     }
 
-    /// Returns the status of an entry, or null where it does not answer.
+    /// Returns the status of an entry, or null if it does not answer.
     pub async fn status(&self, entry: u16) -> serde_json::Value {
         let operators = self.plan.entry_operators(entry);
-        let asked = self
+        let reply = self
             .client
             .operate(Method::GET, operators, "/v1/status", String::new());
-        match timeout(STATUS_WITHIN, asked).await {
+        match timeout(STATUS_WITHIN, reply).await {
             Ok(Ok(reply)) => reply.body,
             _ => serde_json::Value::Null,
         }
@@ -167,11 +167,11 @@
 
     async fn has_contract(&self, entry: u16, id: &str) -> bool {
         let operators = self.plan.entry_operators(entry);
-        let asked = self
+        let reply = self
             .client
             .operate(Method::GET, operators, "/v1/contracts", String::new())
             .await;
-        asked.is_ok_and(|reply| !reply.body["contracts"][id].is_null())
+        reply.is_ok_and(|reply| !reply.body["contracts"][id].is_null())
     }
 
     /// Stops every process and removes the site's folder.
@@ -186,7 +186,7 @@
             relay.close();
         }
         self.table.kill();
-        // A folder that stays behind does no harm.
+        // A folder that cannot be removed does no harm.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
@@ -202,21 +202,22 @@
     Ok(relays)
 }
 
-async fn wait_a_little(by: Instant, what: &str) -> Result<(), SiteError> {
-    if Instant::now() >= by {
+/// Pauses before the next check; returns an error once the deadline has passed.
+async fn pause_until_retry(deadline: Instant, what: &str) -> Result<(), SiteError> {
+    if Instant::now() >= deadline {
         return Err(SiteError::NotReady(what.to_owned()));
     }
     sleep(READY_INTERVAL).await;
     Ok(())
 }
 
-fn folder(plan: &SitePlan) -> Result<PathBuf, SiteError> {
+fn create_folder(plan: &SitePlan) -> Result<PathBuf, SiteError> {
     let folder = Site::folder_of(plan);
     fs::create_dir_all(&folder).map_err(|e| SiteError::Io(folder.display().to_string(), e))?;
     Ok(folder)
 }
 
-fn write(folder: &Path, name: &str, text: &str) -> Result<PathBuf, SiteError> {
+fn write_file(folder: &Path, name: &str, text: &str) -> Result<PathBuf, SiteError> {
     let path = folder.join(name);
     match fs::write(&path, text) {
         Ok(()) => Ok(path),
@@ -286,7 +287,7 @@
     settings: &str,
     folder: &Path,
 ) -> Result<SiteProcess, SiteError> {
-    let path = write(folder, &format!("{name}.yaml"), settings)?;
+    let path = write_file(folder, &format!("{name}.yaml"), settings)?;
     let arguments = ["--conf".to_owned(), path.display().to_string()];
     SiteProcess::start(name, program, arguments, folder)
 }
--- a/crates/bench/src/site/lookup.rs
+++ b/crates/bench/src/site/lookup.rs
@@ -1,4 +1,4 @@
-//! Finds processes of a site.
+//! Looks up processes of a site and what they report.
 
 use {
     crate::{
@@ -10,7 +10,7 @@
 };
 
 impl Site {
-    /// Returns the process with this name.
+    /// Returns the process with this name, such as `entry-0` or `table`.
     pub fn process_mut(&mut self, name: &str) -> Option<&mut SiteProcess> {
         self.entries
             .iter_mut()
@@ -20,7 +20,7 @@
             .find(|process| process.name() == name)
     }
 
-    /// Returns the number of the entry that serves the shard, where one does.
+    /// Returns the number of the first entry that serves a shard, if any.
     pub async fn serving_entry(&self) -> Option<u16> {
         for entry in 0..self.plan.entries() {
             let status = self.status(entry).await;
@@ -32,8 +32,8 @@
         None
     }
 
-    /// Whether every entry is linked to all agents and other entries, and
-    /// knows the owner.
+    /// Returns whether every entry has links to all agents and other entries,
+    /// knows an owner and has read the configuration.
     pub async fn is_complete(&self) -> bool {
         for entry in 0..self.plan.entries() {
             let status = self.status(entry).await;
@@ -47,19 +47,19 @@
         true
     }
 
-    /// Returns an endpoint's own log of starts, or none where it is down.
+    /// Returns the starts that an endpoint logged, or none if it is down.
     pub async fn starts(&self, endpoint: u16) -> Option<StartLog> {
         let url = format!("http://{}/starts", self.plan.endpoint(endpoint));
-        let asked = self.client.send(Method::GET, url, &[], String::new()).await;
-        serde_json::from_value(asked.ok()?.body).ok()
+        let reply = self.client.send(Method::GET, url, &[], String::new()).await;
+        serde_json::from_value(reply.ok()?.body).ok()
     }
 
-    /// Sets what is wrong with a stand-in.
+    /// Sets the fault of the stand-in at `address`; returns whether it accepted.
     pub async fn set_fault(&self, address: std::net::SocketAddr, fault: Value) -> bool {
         let url = format!("http://{address}/fault");
         let headers = [("content-type", "application/json")];
         let body = fault.to_string();
-        let asked = self.client.send(Method::PUT, url, &headers, body).await;
-        asked.is_ok_and(|reply| reply.status < 300)
+        let reply = self.client.send(Method::PUT, url, &headers, body).await;
+        reply.is_ok_and(|reply| reply.status < 300)
     }
 }
--- a/crates/bench/src/site/mod.rs
+++ b/crates/bench/src/site/mod.rs
@@ -1,4 +1,4 @@
-//! A whole site on loopback: real processes, brought up and taken down.
+//! Starts and stops a whole site of real processes on loopback.
 
 mod block_on;
 mod client;
--- a/crates/bench/src/site/process.rs
+++ b/crates/bench/src/site/process.rs
@@ -1,4 +1,4 @@
-//! One process of a site.
+//! Starts, signals and measures one process of a site.
 
 use {
     crate::site::SiteError,
@@ -10,15 +10,15 @@
     },
 };
 
-/// Length of the system's clock tick, in which it counts processor time.
+/// Length of the clock tick in which `/proc` counts processor time.
 const CLOCK_TICK: Duration = Duration::from_millis(10);
 
-/// What a process has used.
+/// Memory and processor time that a process has used.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ProcessUsage {
     /// Resident memory, in kilobytes.
     pub memory_kilobytes: u64,
-    /// Processor time since its start.
+    /// User and system time since the start of the process.
     pub processor: Duration,
 }
 
@@ -33,10 +33,11 @@
 }
 
 impl SiteProcess {
-    /// Starts a program of the build; its log goes to a file of `folder`.
+    /// Starts a program of this build; its output is appended to `name.log` in
+    /// `folder`.
     ///
     /// # Errors
-    /// Returns an error where the program does not start.
+    /// Returns an error if the program does not start.
     pub fn start(
         name: impl Into<String>,
         program: &str,
@@ -57,19 +58,19 @@
         })
     }
 
-    /// Returns the name of the process.
+    /// Returns the name of the process within the site, such as `entry-0`.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Returns the id of the process.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Returns the file with the process's log.
+    /// Returns the path of the file with the output of the process.
     #[must_use]
     pub fn log(&self) -> &Path {
         &self.log
@@ -78,7 +79,7 @@
     /// Sends a signal, by its name without `SIG`.
     ///
     /// # Errors
-    /// Returns an error where the signal cannot be sent.
+    /// Returns an error if the `kill` program does not run.
     pub fn signal(&self, name: &str) -> Result<(), SiteError> {
         let status = Command::new("kill")
             .args(["-s", name, &self.id().to_string()])
@@ -90,29 +91,29 @@
         }
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
-        // A process that ended already needs no kill.
+        // Both calls fail only for a process that has exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Starts the process again after it ended.
+    /// Kills the process if it still runs, and starts it with the same arguments.
     ///
     /// # Errors
-    /// Returns an error where the program does not start.
+    /// Returns an error if the program does not start.
     pub fn restart(&mut self) -> Result<(), SiteError> {
         self.kill();
         self.child = spawn(&self.program, &self.arguments, &self.log)?;
         Ok(())
     }
 
-    /// Returns how the process ended, or none while it runs.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status, or none while the process runs.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Returns what the process has used so far, as the system counts it.
+    /// Reads the usage so far from `/proc`; a value that cannot be read is 0.
     #[must_use]
     pub fn usage(&self) -> ProcessUsage {
         let folder = PathBuf::from(format!("/proc/{}", self.id()));
@@ -143,31 +144,35 @@
 }
 
 fn spawn(program: &Path, arguments: &[String], log: &Path) -> Result<Child, SiteError> {
-    let failed = |error| SiteError::Io(program.display().to_string(), error);
+    let io_error = |error| SiteError::Io(program.display().to_string(), error);
     let out = File::options()
         .append(true)
         .create(true)
         .open(log)
-        .map_err(failed)?;
-    let err = out.try_clone().map_err(failed)?;
+        .map_err(io_error)?;
+    let err = out.try_clone().map_err(io_error)?;
     Command::new(program)
         .args(arguments)
         .stdin(Stdio::null())
         .stdout(out)
         .stderr(err)
         .spawn()
-        .map_err(failed)
+        .map_err(io_error)
 }
 
-/// Finds a program beside this one, or beside the folder of test programs.
+/// Finds a program in the folder of the running program or, because test
+/// programs lie one folder deeper, in its parent folder.
 fn program_path(program: &str) -> Result<PathBuf, SiteError> {
-    let me = std::env::current_exe().map_err(|e| SiteError::Io(program.to_owned(), e))?;
-    let beside = me.with_file_name(program);
+    let current = std::env::current_exe().map_err(|e| SiteError::Io(program.to_owned(), e))?;
+    let beside = current.with_file_name(program);
     if beside.exists() {
         return Ok(beside);
     }
-    let above = me.parent().and_then(Path::parent).map(|p| p.join(program));
-    match above {
+    let in_parent = current
+        .parent()
+        .and_then(Path::parent)
+        .map(|p| p.join(program));
+    match in_parent {
         Some(path) if path.exists() => Ok(path),
         _ => Err(SiteError::Io(
             format!("{program} is not built: run `cargo build --workspace` first"),
--- a/crates/bench/src/site/relay.rs
+++ b/crates/bench/src/site/relay.rs
@@ -1,5 +1,7 @@
-//! A relay before a process that can cut connections, delay them and let them
-//! go silent, both ways or one way.
+//! A TCP relay in front of a process.
+//!
+//! The relay can cut connections, delay their bytes, and drop the bytes of one
+//! or both directions while the connections stay open.
 
 use {
     crate::site::SiteError,
@@ -15,47 +17,50 @@
     },
 };
 
-/// Bytes that are read at once.
+/// Largest number of bytes of one read.
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// Number of a connection through a relay.
+/// Number of a connection through a relay, counted from 1 as they open.
 type ConnectionNumber = u64;
 
-/// Relays the connections to one address.
+/// Relays the connections to one address and injects faults into them.
 #[derive(Debug)]
 pub struct Relay {
     faults: Faults,
     cut: watch::Sender<ConnectionNumber>,
 }
 
-/// What the connections of a relay share.
+/// Faults that the connections of a relay share.
 #[derive(Clone, Debug)]
 struct Faults {
     newest: Rc<Cell<ConnectionNumber>>,
-    silent: Rc<Cell<ConnectionNumber>>,
-    silent_back: Rc<Cell<ConnectionNumber>>,
+    /// Bytes of the connections up to this number are dropped both ways.
+    silent_up_to: Rc<Cell<ConnectionNumber>>,
+    /// Bytes back to the peer of the connections up to this number are dropped.
+    silent_back_up_to: Rc<Cell<ConnectionNumber>>,
     delay: Rc<Cell<Duration>>,
-    cut: watch::Receiver<ConnectionNumber>,
+    /// The connections up to this number are cut.
+    cut_up_to: watch::Receiver<ConnectionNumber>,
 }
 
 impl Relay {
-    /// Starts to relay from `listen` to `to`.
+    /// Listens on `listen` and relays every connection to `to`.
     ///
     /// # Errors
-    /// Returns an error where `listen` cannot be listened on.
+    /// Returns an error if the relay cannot listen on `listen`.
     pub async fn open(listen: SocketAddr, to: SocketAddr) -> Result<Self, SiteError> {
         let listener = TcpListener::bind(listen)
             .await
             .map_err(|e| SiteError::Io(listen.to_string(), e))?;
-        let (cut, cuts) = watch::channel(0);
+        let (cut, receiver) = watch::channel(0);
         let faults = Faults {
             newest: Rc::default(),
-            silent: Rc::default(),
-            silent_back: Rc::default(),
+            silent_up_to: Rc::default(),
+            silent_back_up_to: Rc::default(),
             delay: Rc::default(),
-            cut: cuts,
+            cut_up_to: receiver,
         };
-        ntex::rt::spawn(accept(listener, to, faults.clone()));
+        ntex::rt::spawn(accept_connections(listener, to, faults.clone()));
         Ok(Self { faults, cut })
     }
 
@@ -65,43 +70,45 @@
     }
 
     /// Drops all bytes, both ways, of every connection that is open now.
+    ///
+    /// The connections stay open; connections opened later are relayed.
     pub fn silence(&self) {
-        self.faults.silent.set(self.faults.newest.get());
+        self.faults.silent_up_to.set(self.faults.newest.get());
     }
 
-    /// Drops the bytes that go back to who connected, of every connection that
-    /// is open now.
+    /// Drops the bytes back to the peer that connected, of every connection
+    /// that is open now.
     pub fn silence_back(&self) {
-        self.faults.silent_back.set(self.faults.newest.get());
+        self.faults.silent_back_up_to.set(self.faults.newest.get());
     }
 
-    /// Holds all bytes back for a time, from now on.
+    /// Delays each read of every connection by `delay` from now on.
     pub fn delay(&self, delay: Duration) {
         self.faults.delay.set(delay);
     }
 
-    /// Returns how many connections were opened since the last silence.
+    /// Returns how many connections were opened since the last [`Self::silence`].
     #[must_use]
     pub fn opened_since_silence(&self) -> u64 {
-        self.faults.newest.get() - self.faults.silent.get()
+        self.faults.newest.get() - self.faults.silent_up_to.get()
     }
 
-    /// Cuts every connection and takes no other.
+    /// Cuts every connection and stops listening.
     pub fn close(self) {
         drop(self.cut);
     }
 }
 
-async fn accept(listener: TcpListener, to: SocketAddr, mut faults: Faults) {
+async fn accept_connections(listener: TcpListener, to: SocketAddr, mut faults: Faults) {
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
                     faults.newest.set(faults.newest.get() + 1);
-                    ntex::rt::spawn(relay(stream, to, faults.clone()));
+                    ntex::rt::spawn(relay_connection(stream, to, faults.clone()));
                 }
             }
-            changed = faults.cut.changed() => {
+            changed = faults.cut_up_to.changed() => {
                 if changed.is_err() {
                     return;
                 }
@@ -110,37 +117,39 @@
     }
 }
 
-async fn relay(stream: TcpStream, to: SocketAddr, faults: Faults) {
+async fn relay_connection(stream: TcpStream, to: SocketAddr, faults: Faults) {
     let number = faults.newest.get();
     let Ok(onward) = TcpStream::connect(to).await else {
         return;
     };
-    // A connection without the option only has a higher latency.
+    // If the option cannot be set, only latency suffers.
     let _ = (stream.set_nodelay(true), onward.set_nodelay(true));
     let (from_peer, to_peer) = stream.into_split();
-    let (from_entry, to_entry) = onward.into_split();
-    let mut cut = faults.cut.clone();
-    let there = [&*faults.silent];
-    let back = [&*faults.silent, &*faults.silent_back];
+    let (from_target, to_target) = onward.into_split();
+    let mut cut_up_to = faults.cut_up_to.clone();
+    let forward = [&*faults.silent_up_to];
+    let back = [&*faults.silent_up_to, &*faults.silent_back_up_to];
     tokio::select! {
-        () = pump(from_peer, to_entry, number, &there, &faults.delay) => {}
-        () = pump(from_entry, to_peer, number, &back, &faults.delay) => {}
-        // The relay is closed where the wait fails.
-        _ = cut.wait_for(|cut| *cut >= number) => {}
+        () = copy_bytes(from_peer, to_target, number, &forward, &faults.delay) => {}
+        () = copy_bytes(from_target, to_peer, number, &back, &faults.delay) => {}
+        // The wait fails once the relay is closed, which cuts the connection too.
+        _ = cut_up_to.wait_for(|up_to| *up_to >= number) => {}
     }
 }
 
-async fn pump(
+/// Copies the bytes of one direction; a silent connection stays open after its
+/// sender has closed it.
+async fn copy_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     number: ConnectionNumber,
-    silent: &[&Cell<ConnectionNumber>],
+    silent_up_to: &[&Cell<ConnectionNumber>],
     delay: &Cell<Duration>,
 ) {
     let mut buf = vec![0; BUFFER_BYTES];
     loop {
         let read = from.read(&mut buf).await.unwrap_or_default();
-        let is_silent = silent.iter().any(|up_to| number <= up_to.get());
+        let is_silent = silent_up_to.iter().any(|up_to| number <= up_to.get());
         if read == 0 && is_silent {
             pending::<()>().await;
         }
--- a/crates/bench/src/site/site_plan.rs
+++ b/crates/bench/src/site/site_plan.rs
@@ -1,26 +1,26 @@
-//! What a site on loopback consists of.
+//! Sizes, addresses and settings of a site on loopback.
 
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
     sync::atomic::{AtomicU8, Ordering},
 };
 
-/// Counts the sites of this process, so that each has its own address.
-static SITES: AtomicU8 = AtomicU8::new(1);
+/// Number of the next site of this process, so that each has its own address.
+static NEXT_SITE: AtomicU8 = AtomicU8::new(1);
 
 /// Lowest port of entries.
-const ENTRY_PORTS: u16 = 11_000;
+const FIRST_ENTRY_PORT: u16 = 11_000;
 
 /// Lowest port of agents and endpoints.
-const AGENT_PORTS: u16 = 12_000;
+const FIRST_AGENT_PORT: u16 = 12_000;
 
 /// Port of the table.
 const TABLE_PORT: u16 = 10_900;
 
-/// Ports that one process may use.
+/// Number of ports reserved for each entry, and for each endpoint with its agent.
 const PORTS_PER_PROCESS: u16 = 10;
 
-/// What a site consists of.
+/// Sizes, addresses and settings of a site.
 #[derive(Clone, Debug)]
 pub struct SitePlan {
     pub(crate) ip: IpAddr,
@@ -35,7 +35,7 @@
 }
 
 impl SitePlan {
-    /// Starts to plan a site: 3 entries and 11 endpoints with 8 slots each.
+    /// Returns a builder; by default 3 entries and 11 endpoints with 8 slots each.
     #[must_use]
     pub fn builder() -> SitePlanBuilder {
         SitePlanBuilder {
@@ -56,32 +56,33 @@
     /// Returns the address of the table.
     #[must_use]
     pub fn table(&self) -> SocketAddr {
-        self.at(TABLE_PORT)
+        self.address(TABLE_PORT)
     }
 
     /// Returns the address of an entry for callers.
     #[must_use]
     pub fn callers(&self, entry: u16) -> SocketAddr {
-        self.at(ENTRY_PORTS + entry * PORTS_PER_PROCESS)
+        self.address(FIRST_ENTRY_PORT + entry * PORTS_PER_PROCESS)
     }
 
     /// Returns the address of an entry for operators.
     #[must_use]
     pub fn entry_operators(&self, entry: u16) -> SocketAddr {
-        self.at(ENTRY_PORTS + entry * PORTS_PER_PROCESS + 1)
+        self.address(FIRST_ENTRY_PORT + entry * PORTS_PER_PROCESS + 1)
     }
 
-    /// Returns the address of an entry for links.
+    /// Returns the address on which an entry listens for links.
     #[must_use]
     pub fn inner(&self, entry: u16) -> SocketAddr {
-        self.at(ENTRY_PORTS + entry * PORTS_PER_PROCESS + 2)
+        self.address(FIRST_ENTRY_PORT + entry * PORTS_PER_PROCESS + 2)
     }
 
-    /// Returns the address under which agents and other entries reach an entry.
+    /// Returns the address at which agents and other entries reach an entry: the
+    /// relay's if the site is relayed, else the entry's own.
     #[must_use]
     pub fn announced_inner(&self, entry: u16) -> SocketAddr {
         if self.relayed {
-            self.at(ENTRY_PORTS + entry * PORTS_PER_PROCESS + 3)
+            self.address(FIRST_ENTRY_PORT + entry * PORTS_PER_PROCESS + 3)
         } else {
             self.inner(entry)
         }
@@ -90,52 +91,54 @@
     /// Returns the address of an agent for operators.
     #[must_use]
     pub fn agent_operators(&self, endpoint: u16) -> SocketAddr {
-        self.at(AGENT_PORTS + endpoint * PORTS_PER_PROCESS)
+        self.address(FIRST_AGENT_PORT + endpoint * PORTS_PER_PROCESS)
     }
 
-    /// Returns the address of an endpoint.
+    /// Returns the address of the stand-in for an endpoint.
     #[must_use]
     pub fn endpoint(&self, endpoint: u16) -> SocketAddr {
-        self.at(AGENT_PORTS + endpoint * PORTS_PER_PROCESS + 1)
+        self.address(FIRST_AGENT_PORT + endpoint * PORTS_PER_PROCESS + 1)
     }
 
-    /// Returns how many entries there are.
+    /// Returns the number of entries.
     #[must_use]
     pub fn entries(&self) -> u16 {
         self.entries
     }
 
-    /// Returns how many endpoints there are.
+    /// Returns the number of endpoints.
     #[must_use]
     pub fn endpoints(&self) -> u16 {
         self.endpoints
     }
 
-    /// Returns how many slots one endpoint has.
+    /// Returns the number of slots of one endpoint.
     #[must_use]
     pub fn slots_of_endpoint(&self) -> u32 {
         self.slots
     }
 
-    /// Returns how many slots the site has.
+    /// Returns the number of slots of all endpoints.
     #[must_use]
     pub fn slots(&self) -> u32 {
         self.slots * u32::from(self.endpoints)
     }
 
-    /// Returns how many slots each endpoint has.
+    /// Returns the number of slots of each endpoint.
     #[must_use]
     pub fn slots_each(&self) -> u32 {
         self.slots
     }
 
-    /// Returns the availability zone of the process with this number.
+    /// Returns the availability zone of the entry or agent with this number.
+    ///
+    /// The zones are assigned in turn.
     #[must_use]
     pub fn zone(&self, number: u16) -> &str {
         &self.zones[usize::from(number) % self.zones.len()]
     }
 
-    fn at(&self, port: u16) -> SocketAddr {
+    fn address(&self, port: u16) -> SocketAddr {
         SocketAddr::new(self.ip, port)
     }
 }
@@ -147,7 +150,8 @@
 }
 
 impl SitePlanBuilder {
-    /// Sets the loopback address, for sites that must stay where they are.
+    /// Sets the loopback address, for a site whose addresses must not change
+    /// from run to run.
     #[must_use]
     pub fn ip(mut self, ip: IpAddr) -> Self {
         self.plan.ip = ip;
@@ -168,7 +172,7 @@
         self
     }
 
-    /// Sets the slots of each endpoint.
+    /// Sets the number of slots of each endpoint.
     #[must_use]
     pub fn slots(mut self, count: u32) -> Self {
         self.plan.slots = count;
@@ -182,7 +186,7 @@
         self
     }
 
-    /// Sets the policy of every entry.
+    /// Sets the placement policy of every entry, by name.
     #[must_use]
     pub fn policy(mut self, name: impl Into<String>) -> Self {
         self.plan.policy = name.into();
@@ -196,7 +200,7 @@
         self
     }
 
-    /// Leads every link through a relay that can cut or silence it.
+    /// Sets whether every link passes through a relay that can cut or silence it.
     #[must_use]
     pub fn relayed(mut self, relayed: bool) -> Self {
         self.plan.relayed = relayed;
@@ -210,10 +214,11 @@
     }
 }
 
-/// Picks a loopback address by the process's id and the number of the site.
+/// Picks a loopback address from the process id and the number of the site, so
+/// that sites of concurrent test processes do not collide.
 fn next_ip() -> IpAddr {
     let pid = std::process::id();
     let [_, high, low, _] = (pid << 8).to_be_bytes();
-    let site = SITES.fetch_add(1, Ordering::Relaxed);
+    let site = NEXT_SITE.fetch_add(1, Ordering::Relaxed);
     IpAddr::V4(Ipv4Addr::new(127, high.max(1), low, site))
 }
