--- a/crates/bench/src/standins/endpoint.rs
+++ b/crates/bench/src/standins/endpoint.rs
@@ -1,4 +1,4 @@
-//! Stands in for an endpoint.
+//! A stand-in for an endpoint: an HTTP server that simulates runs of tasks.
 
 use {
     crate::standins::{StartLog, StartRecord, table::LIMITS},
@@ -18,38 +18,38 @@
     tokio::{net::TcpListener, time::sleep},
 };
 
-/// Longest request, in bytes.
+/// Largest body of a request, in bytes.
 const MAX_REQUEST_BYTES: usize = 16 * 1024 * 1024;
 
-/// What is wrong with the endpoint.
+/// Fault that the endpoint simulates.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It fails everything that it starts, at once.
+    /// Every task starts and fails at once.
     FailsAll,
-    /// It refuses every request before it starts.
+    /// Every request is refused before its task starts.
     RefusesAll,
 }
 
-/// Input of a task, as the stand-in reads it.
+/// Input of a task, which tells the stand-in how the task runs and ends.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct RunInput {
-    /// How long the task really runs, in milliseconds.
+    /// Actual run time of the task, in milliseconds.
     pub run_ms: u64,
-    /// How long the output is, in bytes.
+    /// Least length of the output, in bytes; a shorter output is padded.
     pub output_bytes: usize,
-    /// Whether the task fails at its end.
+    /// Whether the task fails after its run time.
     pub fails: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Endpoint {
     slots: u32,
-    taken: Rc<Cell<u32>>,
+    running: Rc<Cell<u32>>,
     log: Rc<RefCell<StartLog>>,
     fault: Rc<Cell<EndpointFault>>,
 }
@@ -57,12 +57,12 @@
 /// Serves the endpoint until the process ends.
 ///
 /// # Errors
-/// Returns an error where the address cannot be listened on.
+/// Returns an error if the endpoint cannot listen on `listen`.
 pub async fn run(listen: SocketAddr, slots: u32) -> std::io::Result<()> {
     let listener = TcpListener::bind(listen).await?;
     let endpoint = Endpoint {
         slots,
-        taken: Rc::default(),
+        running: Rc::default(),
         log: Rc::default(),
         fault: Rc::default(),
     };
@@ -80,14 +80,14 @@
     let endpoint: Endpoint = (*endpoint).clone();
     let request = body.into_inner();
     let fault = endpoint.fault.get();
-    if fault == EndpointFault::RefusesAll || endpoint.taken.get() >= endpoint.slots {
+    if fault == EndpointFault::RefusesAll || endpoint.running.get() >= endpoint.slots {
         return HttpResponse::ServiceUnavailable().finish();
     }
-    endpoint.begin(&request);
-    // The run goes on where the agent goes away.
+    endpoint.record_start(&request);
+    // A task of its own, so that the run continues if the agent disconnects.
     let run = ntex::rt::spawn(async move {
-        let reply = work(&request, fault).await;
-        endpoint.taken.set(endpoint.taken.get() - 1);
+        let reply = run_task(&request, fault).await;
+        endpoint.running.set(endpoint.running.get() - 1);
         reply
     });
     match run.await {
@@ -96,7 +96,7 @@
     }
 }
 
-async fn work(request: &RunRequest, fault: EndpointFault) -> RunReply {
+async fn run_task(request: &RunRequest, fault: EndpointFault) -> RunReply {
     if fault == EndpointFault::FailsAll {
         return RunReply::Failed("the endpoint is broken".to_owned());
     }
@@ -122,11 +122,11 @@
 }
 
 impl Endpoint {
-    fn begin(&self, request: &RunRequest) {
-        let taken = self.taken.get() + 1;
-        self.taken.set(taken);
+    fn record_start(&self, request: &RunRequest) {
+        let running = self.running.get() + 1;
+        self.running.set(running);
         let mut log = self.log.borrow_mut();
-        log.most_at_once = log.most_at_once.max(taken);
+        log.most_at_once = log.most_at_once.max(running);
         log.starts.push(StartRecord {
             task: request.task.clone(),
             at: SystemTime::now(),
--- a/crates/bench/src/standins/mod.rs
+++ b/crates/bench/src/standins/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the systems around the dispatcher.
+//! Stand-ins for the systems around the dispatcher: the table and endpoints.
 
 pub mod endpoint;
 mod start_log;
--- a/crates/bench/src/standins/start_log.rs
+++ b/crates/bench/src/standins/start_log.rs
@@ -1,4 +1,6 @@
-//! The endpoint's own log of starts: the judge of what ran.
+//! The log of starts that an endpoint keeps.
+//!
+//! Checks compare what entries report with this log, as it shows what really ran.
 
 use {
     chestnutrun_types::TaskRef,
@@ -6,20 +8,20 @@
     std::time::SystemTime,
 };
 
-/// One start.
+/// The start of one task at an endpoint.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StartRecord {
-    /// The task.
+    /// The task that started.
     pub task: TaskRef,
-    /// When it started.
+    /// Time of the start.
     pub at: SystemTime,
 }
 
 /// Every start of one endpoint, the oldest first.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StartLog {
-    /// The starts.
+    /// The starts, in their order.
     pub starts: Vec<StartRecord>,
-    /// Most tasks that ran at once.
+    /// Largest number of tasks that ran at the same time.
     pub most_at_once: u32,
 }
--- a/crates/bench/src/standins/table.rs
+++ b/crates/bench/src/standins/table.rs
@@ -1,4 +1,5 @@
-//! Stands in for the platform's transactional table.
+//! A stand-in for the platform's transactional table: an HTTP server that keeps
+//! the rows in memory.
 
 use {
     crate::standins::TableState,
@@ -21,30 +22,30 @@
     tokio::{net::TcpListener, time::sleep},
 };
 
-/// Limits of the stand-ins' addresses.
+/// HTTP limits of the stand-ins for the table and for endpoints.
 pub(crate) const LIMITS: HttpLimits = HttpLimits {
     head_timeout: Duration::from_secs(30),
     keep_alive: Duration::from_mins(10),
     max_headers: 64,
 };
 
-/// How long a table that is down keeps a request before it drops it.
-const DOWN_DELAY: Duration = Duration::from_secs(5);
+/// How long a request without an answer stays open before it fails with 503.
+const NO_ANSWER_DELAY: Duration = Duration::from_secs(5);
 
-/// What is wrong with the table.
+/// Fault that the table simulates.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TableFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It refuses every request.
+    /// Every request fails at once with 503.
     Refusing,
-    /// It answers nothing.
+    /// No request takes effect; each fails after 5 seconds.
     Silent,
-    /// It answers after a delay, in milliseconds.
+    /// Every request takes effect after a delay, in milliseconds.
     Slow(u64),
-    /// Writes take effect, but their answers are lost.
+    /// Writes take effect, but each fails after 5 seconds; reads are answered.
     LosesAnswers,
 }
 
@@ -57,7 +58,7 @@
 }
 
 #[derive(Debug, Default, Deserialize)]
-struct Prefix {
+struct RowsQuery {
     #[serde(default)]
     prefix: String,
 }
@@ -65,7 +66,7 @@
 /// Serves the table until the process ends.
 ///
 /// # Errors
-/// Returns an error where the address cannot be listened on.
+/// Returns an error if the table cannot listen on `listen`.
 pub async fn run(listen: SocketAddr) -> std::io::Result<()> {
     let listener = TcpListener::bind(listen).await?;
     let app = App::new()
@@ -78,9 +79,9 @@
     Ok(())
 }
 
-async fn rows(query: Query<Prefix>, table: State<Table>) -> HttpResponse {
+async fn rows(query: Query<RowsQuery>, table: State<Table>) -> HttpResponse {
     table.reads.set(table.reads.get() + 1);
-    if let Some(res) = table.disturb().await {
+    if let Some(res) = table.simulate_fault().await {
         return res;
     }
     HttpResponse::Ok().json(&table.state.borrow().rows(&query.prefix))
@@ -88,15 +89,15 @@
 
 async fn transact(body: Json<Transaction>, table: State<Table>) -> HttpResponse {
     table.writes.set(table.writes.get() + 1);
-    if let Some(res) = table.disturb().await {
+    if let Some(res) = table.simulate_fault().await {
         return res;
     }
-    let ended = table.state.borrow_mut().transact(body.into_inner());
+    let result = table.state.borrow_mut().transact(body.into_inner());
     if table.fault.get() == TableFault::LosesAnswers {
-        sleep(DOWN_DELAY).await;
+        sleep(NO_ANSWER_DELAY).await;
         return HttpResponse::ServiceUnavailable().finish();
     }
-    match ended {
+    match result {
         Ok(reply) => HttpResponse::Ok().json(&reply),
         Err(conflict) => HttpResponse::build(StatusCode::CONFLICT).json(&conflict),
     }
@@ -115,12 +116,13 @@
 }
 
 impl Table {
-    async fn disturb(&self) -> Option<HttpResponse> {
+    /// Waits as the fault demands; returns the answer of a request that fails.
+    async fn simulate_fault(&self) -> Option<HttpResponse> {
         match self.fault.get() {
             TableFault::None | TableFault::LosesAnswers => None,
             TableFault::Refusing => Some(HttpResponse::ServiceUnavailable().finish()),
             TableFault::Silent => {
-                sleep(DOWN_DELAY).await;
+                sleep(NO_ANSWER_DELAY).await;
                 Some(HttpResponse::ServiceUnavailable().finish())
             }
             TableFault::Slow(milliseconds) => {
--- a/crates/bench/src/standins/table_state.rs
+++ b/crates/bench/src/standins/table_state.rs
@@ -1,4 +1,4 @@
-//! Rows of the table stand-in.
+//! Rows and transactions of the stand-in for the table.
 
 use {
     chestnutrun_table::{ConflictReply, RowReply, RowsReply, Transaction, TransactionReply, Write},
@@ -6,7 +6,7 @@
     serde_json::Value,
 };
 
-/// Rows, and the operations that took effect.
+/// Rows, and the revision of each operation that took effect.
 #[derive(Debug, Default)]
 pub struct TableState {
     revision: u64,
@@ -28,28 +28,30 @@
         }
     }
 
-    /// Applies a transaction whose conditions hold.
+    /// Applies a transaction if all its conditions hold.
+    ///
+    /// A repeated operation changes nothing and returns its first revision.
     ///
     /// # Errors
-    /// Returns the present rows of the conditions that do not hold.
+    /// Returns the current rows of the conditions that do not hold.
     pub fn transact(&mut self, tx: Transaction) -> Result<TransactionReply, ConflictReply> {
         if let Some(revision) = self.operations.get(&tx.operation) {
             return Ok(TransactionReply {
                 revision: *revision,
             });
         }
-        let broken: Vec<RowReply> = tx
+        let conflicts: Vec<RowReply> = tx
             .conditions
             .iter()
             .filter(|condition| self.revision_of(&condition.key) != condition.revision)
-            .map(|condition| self.present(&condition.key))
+            .map(|condition| self.current_row(&condition.key))
             .collect();
-        if !broken.is_empty() {
-            return Err(ConflictReply { rows: broken });
+        if !conflicts.is_empty() {
+            return Err(ConflictReply { rows: conflicts });
         }
         self.revision += 1;
         for write in tx.writes {
-            self.write(write);
+            self.apply_write(write);
         }
         self.operations.insert(tx.operation, self.revision);
         Ok(TransactionReply {
@@ -57,7 +59,7 @@
         })
     }
 
-    fn write(&mut self, write: Write) {
+    fn apply_write(&mut self, write: Write) {
         match write.value {
             None => {
                 self.rows.shift_remove(&write.key);
@@ -77,7 +79,7 @@
         self.rows.get(key).map_or(0, |row| row.revision)
     }
 
-    fn present(&self, key: &str) -> RowReply {
+    fn current_row(&self, key: &str) -> RowReply {
         self.rows.get(key).cloned().unwrap_or_else(|| RowReply {
             key: key.to_owned(),
             value: Value::Null,
