--- a/crates/bench/src/scenario/calls.rs
+++ b/crates/bench/src/scenario/calls.rs
@@ -1,8 +1,10 @@
-//! Callers that act while the scenario goes on.
+//! Callers whose requests run while the scenario carries out its next steps.
 
 use {
     crate::{
-        scenario::{AskStep, Call, CallEnd, ScenarioError, Submission, SubmitStep, runner::Runner},
+        scenario::{
+            AskStep, CallKind, CallResult, ScenarioError, Submission, SubmitStep, runner::Runner,
+        },
         site::{HttpReply, SiteClient, SiteError},
     },
     ntex::http::Method,
@@ -13,27 +15,28 @@
     },
 };
 
-/// How long a patient caller waits before it asks another entry.
+/// How long a patient caller pauses before it retries at the next entry.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Most tries of a patient caller.
-const MAX_TRIES: usize = 300;
+/// Largest number of attempts of a patient caller.
+const MAX_ATTEMPTS: usize = 300;
 
-/// How long a patient caller waits for one answer.
-const PATIENCE: Duration = Duration::from_secs(3);
+/// How long a patient caller waits for the answer to one attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// In place of an entry: every entry in turn.
-const EACH: &str = "each";
+/// Name in the place of an entry for "every entry in turn".
+const EACH_ENTRY: &str = "each";
 
-/// One caller.
+/// A caller that submits one job.
 struct Caller {
     client: SiteClient,
+    /// Addresses of the entries, in the order in which the caller tries them.
     entries: Vec<SocketAddr>,
     submission: Submission,
     wait: Option<String>,
-    first: bool,
-    patient: bool,
-    starts_in: Duration,
+    is_first: bool,
+    is_patient: bool,
+    delay: Duration,
     leave_after: Option<Duration>,
 }
 
@@ -52,10 +55,10 @@
             },
             |name| format!("{name} again"),
         );
-        self.say(format!("> submit {} at {}: {what}", step.name, step.at));
-        let is_spread = step.at == EACH;
+        self.write_line(format!("> submit {} at {}: {what}", step.name, step.at));
+        let is_spread = step.at == EACH_ENTRY;
         let at = if is_spread { 0 } else { self.entry(&step.at)? };
-        let mut starts_in = Duration::ZERO;
+        let mut delay = Duration::ZERO;
         for (number, submission) in submissions.iter().enumerate() {
             let turn = if is_spread { number } else { 0 };
             let caller = Caller {
@@ -63,25 +66,25 @@
                 entries: self.entries_from(usize::from(at) + turn),
                 submission: submission.clone(),
                 wait: step.wait.clone(),
-                first: step.first,
-                patient: step.patient,
-                starts_in,
+                is_first: step.first,
+                is_patient: step.patient,
+                delay,
                 leave_after: step.leave_after,
             };
-            starts_in += step.every;
-            self.call(&step.name, Call::Submit, submission, caller.submit());
+            delay += step.every;
+            self.spawn_call(&step.name, CallKind::Submit, submission, caller.submit());
         }
-        self.keep_submissions(&step.name, submissions);
+        self.store_submissions(&step.name, submissions);
         Ok(())
     }
 
-    pub(super) fn ask(&mut self, step: &AskStep, call: Call) -> Result<(), ScenarioError> {
-        let verb = if call == Call::Cancel {
+    pub(super) fn ask(&mut self, step: &AskStep, kind: CallKind) -> Result<(), ScenarioError> {
+        let verb = if kind == CallKind::Cancel {
             "cancel"
         } else {
             "ask"
         };
-        self.say(format!(
+        self.write_line(format!(
             "> {verb} {} at {}: {}",
             step.name, step.at, step.of
         ));
@@ -91,42 +94,43 @@
             let callers = self.site.plan.callers(at);
             let (of, wait) = (submission.clone(), step.wait.clone());
             let reply = async move {
-                match call {
-                    Call::Cancel => cancel(&client, callers, &of).await.ok(),
+                match kind {
+                    CallKind::Cancel => cancel(&client, callers, &of).await.ok(),
                     _ => client
                         .fetch_job(callers, &of.contract, &of.key, &wait)
                         .await
                         .ok(),
                 }
             };
-            self.call(&step.name, call, &submission, reply);
+            self.spawn_call(&step.name, kind, &submission, reply);
         }
         Ok(())
     }
 
-    /// Lets a call go on beside the scenario.
-    fn call(
+    /// Runs a call concurrently with the following steps.
+    fn spawn_call(
         &mut self,
         name: &str,
-        call: Call,
+        kind: CallKind,
         submission: &Submission,
         reply: impl Future<Output = Option<HttpReply>> + 'static,
     ) {
         let (tx, rx) = oneshot::channel();
         let (name, submission) = (name.to_owned(), submission.clone());
-        self.keep_call(&name, rx);
+        self.store_call(&name, rx);
         ntex::rt::spawn(async move {
-            let end = CallEnd {
+            let result = CallResult {
                 name,
-                call,
+                kind,
                 submission,
                 reply: reply.await,
             };
-            // The scenario went wrong already where nobody takes the end.
-            let _ = tx.send(end);
+            // The receiver is dropped only once the scenario has failed.
+            let _ = tx.send(result);
         });
     }
 
+    /// Returns the callers' addresses of all entries, beginning with entry `first`.
     fn entries_from(&self, first: usize) -> Vec<SocketAddr> {
         let count = self.site.plan.entries();
         let mut entries: Vec<SocketAddr> = (0..count).map(|n| self.site.plan.callers(n)).collect();
@@ -137,22 +141,25 @@
 
 impl Caller {
     async fn submit(self) -> Option<HttpReply> {
-        sleep(self.starts_in).await;
+        sleep(self.delay).await;
         match self.leave_after {
-            Some(limit) => timeout(limit, self.tries()).await.ok().flatten(),
-            None => self.tries().await,
+            Some(limit) => timeout(limit, self.submit_with_retries())
+                .await
+                .ok()
+                .flatten(),
+            None => self.submit_with_retries().await,
         }
     }
 
-    async fn tries(&self) -> Option<HttpReply> {
-        if !self.patient {
-            return self.once(self.entries[0], self.first).await.ok();
+    async fn submit_with_retries(&self) -> Option<HttpReply> {
+        if !self.is_patient {
+            return self.submit_once(self.entries[0], self.is_first).await.ok();
         }
-        for number in 0..MAX_TRIES {
+        for number in 0..MAX_ATTEMPTS {
             let entry = self.entries[number % self.entries.len()];
-            let is_first = self.first && number == 0;
-            let asked = timeout(PATIENCE, self.once(entry, is_first)).await;
-            match asked {
+            let is_first = self.is_first && number == 0;
+            let reply = timeout(ATTEMPT_TIMEOUT, self.submit_once(entry, is_first)).await;
+            match reply {
                 Ok(Ok(reply)) if reply.status != 503 && reply.status != 202 => return Some(reply),
                 _ => sleep(RETRY_PAUSE).await,
             }
@@ -160,7 +167,7 @@
         None
     }
 
-    async fn once(&self, entry: SocketAddr, is_first: bool) -> Result<HttpReply, SiteError> {
+    async fn submit_once(&self, entry: SocketAddr, is_first: bool) -> Result<HttpReply, SiteError> {
         let of = &self.submission;
         let wait = self.wait.as_ref().map(|wait| format!("?wait={wait}"));
         let query = wait.unwrap_or_default();
--- a/crates/bench/src/scenario/errors.rs
+++ b/crates/bench/src/scenario/errors.rs
@@ -2,25 +2,25 @@
 
 use {crate::site::SiteError, chestnutrun_types::ContractError, thiserror::Error};
 
-/// Why a scenario went wrong.
+/// Why a scenario failed.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
-    /// The file is no scenario.
-    #[error("not a scenario: {0}")]
+    /// The scenario file is not valid.
+    #[error("invalid scenario: {0}")]
     File(String),
-    /// The site does not come up or answer.
+    /// The site did not start or did not answer a request.
     #[error(transparent)]
     Site(#[from] SiteError),
-    /// A contract is not valid.
+    /// A contract of the scenario is not valid.
     #[error(transparent)]
     Contract(#[from] ContractError),
-    /// A step names what does not exist.
-    #[error("there is no {0}")]
+    /// A process, submission or call that the scenario needs was not found.
+    #[error("not found: {0}")]
     Unknown(String),
-    /// Something took longer than its bound.
-    #[error("{0}: not within the bound")]
+    /// A condition did not hold, or an answer did not come, in time.
+    #[error("{0}: time limit exceeded")]
     TooLate(String),
-    /// Something is not as expected.
+    /// A result differs from what the scenario or a check expects.
     #[error("{0}")]
     Unexpected(String),
 }
--- a/crates/bench/src/scenario/expectations.rs
+++ b/crates/bench/src/scenario/expectations.rs
@@ -1,12 +1,12 @@
-//! Compares answers with what a scenario expects.
+//! Waits for answers and compares them with what a scenario expects.
 
 use {
-    crate::scenario::{CallEnd, ExpectStep, ScenarioError, runner::Runner},
+    crate::scenario::{CallResult, ExpectStep, ScenarioError, runner::Runner},
     std::time::{Duration, Instant},
     tokio::time::timeout,
 };
 
-/// How long calls that nobody expected anything of may take at the end.
+/// Time limit at the end of a scenario for the calls that no step waited for.
 const LAST_CALLS_WITHIN: Duration = Duration::from_secs(65);
 
 impl Runner {
@@ -14,68 +14,69 @@
         let since = Instant::now();
         for name in &step.of {
             let left = step.within.saturating_sub(since.elapsed());
-            let ends = self.collect(name, left).await?;
-            for end in &ends {
-                check(end, step)?;
+            let results = self.collect(name, left).await?;
+            for result in &results {
+                check(result, step)?;
             }
-            self.say(format!("< {name}: {}", summary(step, ends.len())));
-            self.ends.extend(ends);
+            self.write_line(format!("< {name}: {}", summary(step, results.len())));
+            self.results.extend(results);
         }
-        self.figure(&format!("answers of {}", step.of.join(", ")), since);
+        self.record_duration(&format!("answers of {}", step.of.join(", ")), since);
         Ok(())
     }
 
-    /// Waits for the calls that nobody waited for yet.
+    /// Waits for the calls that no step has waited for.
     pub(super) async fn collect_rest(&mut self) -> Result<(), ScenarioError> {
-        for name in self.open_calls() {
-            let ends = self.collect(&name, LAST_CALLS_WITHIN).await?;
-            self.ends.extend(ends);
+        for name in self.pending_calls() {
+            let results = self.collect(&name, LAST_CALLS_WITHIN).await?;
+            self.results.extend(results);
         }
         Ok(())
     }
 
+    /// Waits until all calls with this name have ended.
     async fn collect(
         &mut self,
         name: &str,
         within: Duration,
-    ) -> Result<Vec<CallEnd>, ScenarioError> {
-        let by = tokio::time::Instant::now() + within;
+    ) -> Result<Vec<CallResult>, ScenarioError> {
+        let deadline = tokio::time::Instant::now() + within;
         let calls = self.take_calls(name);
         if calls.is_empty() {
             return Err(ScenarioError::Unknown(format!("call {name}")));
         }
-        let mut ends = Vec::new();
+        let mut results = Vec::new();
         for call in calls {
-            let left = by.saturating_duration_since(tokio::time::Instant::now());
+            let left = deadline.saturating_duration_since(tokio::time::Instant::now());
             match timeout(left, call).await {
-                Ok(Ok(end)) => ends.push(end),
+                Ok(Ok(result)) => results.push(result),
                 _ => return Err(ScenarioError::TooLate(format!("answer of {name}"))),
             }
         }
-        Ok(ends)
+        Ok(results)
     }
 }
 
-fn check(end: &CallEnd, step: &ExpectStep) -> Result<(), ScenarioError> {
-    let is_status = step.status.contains(&end.status());
+fn check(result: &CallResult, step: &ExpectStep) -> Result<(), ScenarioError> {
+    let is_status = step.status.contains(&result.status());
     let is_job = step
         .job
         .as_ref()
-        .is_none_or(|job| end.body()["status"] == job.as_str());
+        .is_none_or(|job| result.body()["status"] == job.as_str());
     let is_problem = step
         .problem
         .as_ref()
-        .is_none_or(|name| end.body()["type"] == format!("urn:chestnutrun:problem:{name}"));
+        .is_none_or(|name| result.body()["type"] == format!("urn:chestnutrun:problem:{name}"));
     let allowed = |outcome: &String| step.outcomes.is_empty() || step.outcomes.contains(outcome);
-    if is_status && is_job && is_problem && end.outcomes().iter().all(allowed) {
+    if is_status && is_job && is_problem && result.outcomes().iter().all(allowed) {
         return Ok(());
     }
-    let body: String = end.body().to_string().chars().take(600).collect();
+    let body: String = result.body().to_string().chars().take(600).collect();
     Err(ScenarioError::Unexpected(format!(
         "{} of {} got status {} and {body}, not {}",
-        end.name,
-        end.submission.key,
-        end.status(),
+        result.name,
+        result.submission.key,
+        result.status(),
         summary(step, 1),
     )))
 }
--- a/crates/bench/src/scenario/faults.rs
+++ b/crates/bench/src/scenario/faults.rs
@@ -1,11 +1,11 @@
-//! Faults of a site: processes, links and stand-ins.
+//! Steps that inject faults into the processes, links and stand-ins of a site.
 
 use {
     crate::{
         scenario::{
             EndpointStep, ScenarioError,
-            runner::{PARTS, Runner},
-            waits::LOOK_INTERVAL,
+            runner::{ENTRY_ROLES, Runner},
+            waits::CHECK_INTERVAL,
         },
         site::{Relay, SiteProcess},
         standins::TableFault,
@@ -15,36 +15,37 @@
     tokio::time::sleep,
 };
 
-/// How long a planned stop may take.
+/// Time limit for processes to exit after a request to stop.
 const STOP_WITHIN: Duration = Duration::from_secs(30);
 
 impl Runner {
+    /// Returns the process with this name; entries are also known by their role.
     fn process(&mut self, name: &str) -> Result<&mut SiteProcess, ScenarioError> {
-        let is_part = PARTS.contains(&name);
-        let full = if is_part {
+        let is_role = ENTRY_ROLES.contains(&name);
+        let full_name = if is_role {
             format!("entry-{}", self.entry(name)?)
         } else {
             name.to_owned()
         };
-        let process = self.site.process_mut(&full);
-        process.ok_or(ScenarioError::Unknown(full))
+        let process = self.site.process_mut(&full_name);
+        process.ok_or(ScenarioError::Unknown(full_name))
     }
 
-    pub(super) fn each(
+    pub(super) fn for_each_process(
         &mut self,
         names: &[String],
         verb: &str,
-        act: impl Fn(&mut SiteProcess),
+        action: impl Fn(&mut SiteProcess),
     ) -> Result<(), ScenarioError> {
-        self.say(format!("! {verb} {}", names.join(", ")));
+        self.write_line(format!("! {verb} {}", names.join(", ")));
         for name in names {
-            act(self.process(name)?);
+            action(self.process(name)?);
         }
         Ok(())
     }
 
     pub(super) fn signal(&mut self, names: &[String], signal: &str) -> Result<(), ScenarioError> {
-        self.say(format!("! {signal} {}", names.join(", ")));
+        self.write_line(format!("! {signal} {}", names.join(", ")));
         for name in names {
             self.process(name)?.signal(signal)?;
         }
@@ -53,43 +54,43 @@
 
     pub(super) async fn terminate(&mut self, names: &[String]) -> Result<(), ScenarioError> {
         self.signal(names, "TERM")?;
-        let by = Instant::now() + STOP_WITHIN;
+        let deadline = Instant::now() + STOP_WITHIN;
         for name in names {
             while self.process(name)?.exit_status().is_none() {
-                if Instant::now() >= by {
+                if Instant::now() >= deadline {
                     return Err(ScenarioError::TooLate(format!("stop of {name}")));
                 }
-                sleep(LOOK_INTERVAL).await;
+                sleep(CHECK_INTERVAL).await;
             }
         }
         Ok(())
     }
 
     pub(super) fn restart(&mut self, names: &[String]) -> Result<(), ScenarioError> {
-        self.say(format!("! restart {}", names.join(", ")));
+        self.write_line(format!("! restart {}", names.join(", ")));
         for name in names {
             self.process(name)?.restart()?;
         }
         Ok(())
     }
 
-    pub(super) fn disturb(
+    pub(super) fn for_each_relay(
         &mut self,
         names: &[String],
         verb: &str,
-        act: impl Fn(&Relay),
+        action: impl Fn(&Relay),
     ) -> Result<(), ScenarioError> {
-        self.say(format!("! {verb} links to {}", names.join(", ")));
+        self.write_line(format!("! {verb} links to {}", names.join(", ")));
         for name in names {
             let entry = usize::from(self.entry(name)?);
             let relay = self.site.relays.get(entry);
-            act(relay.ok_or_else(|| ScenarioError::Unknown(format!("relay of {name}")))?);
+            action(relay.ok_or_else(|| ScenarioError::Unknown(format!("relay of {name}")))?);
         }
         Ok(())
     }
 
-    pub(super) async fn table(&mut self, fault: TableFault) -> Result<(), ScenarioError> {
-        self.say(format!("! table {fault:?}"));
+    pub(super) async fn set_table_fault(&mut self, fault: TableFault) -> Result<(), ScenarioError> {
+        self.write_line(format!("! table {fault:?}"));
         let address = self.site.plan.table();
         if self.site.set_fault(address, json!(fault)).await {
             Ok(())
@@ -98,8 +99,11 @@
         }
     }
 
-    pub(super) async fn endpoint(&mut self, step: &EndpointStep) -> Result<(), ScenarioError> {
-        self.say(format!("! endpoint-{} {:?}", step.number, step.fault));
+    pub(super) async fn set_endpoint_fault(
+        &mut self,
+        step: &EndpointStep,
+    ) -> Result<(), ScenarioError> {
+        self.write_line(format!("! endpoint-{} {:?}", step.number, step.fault));
         let address = self.site.plan.endpoint(step.number);
         if self.site.set_fault(address, json!(step.fault)).await {
             Ok(())
--- a/crates/bench/src/scenario/hostile.rs
+++ b/crates/bench/src/scenario/hostile.rs
@@ -1,4 +1,5 @@
-//! Input that no process of the site, caller or operator would send.
+//! Connections that send input which no process of the site, caller or operator
+//! would send.
 
 use {
     crate::{
@@ -14,26 +15,28 @@
     },
 };
 
-/// How long a process may keep a hostile connection.
+/// Time limit for a process to close a hostile connection.
 const REFUSED_WITHIN: Duration = Duration::from_secs(15);
 
-/// Most resident memory of a process, in kilobytes.
+/// Largest resident memory allowed to a process, in kilobytes.
 const MAX_MEMORY_KILOBYTES: u64 = 256 * 1024;
 
-/// Length of a frame that is announced and never sent, in bytes.
+/// Length that a large frame announces but does not send, in bytes.
 const ANNOUNCED_BYTES: u64 = 1 << 40;
 
-/// Length of garbage, in bytes.
+/// Length of the garbage that one connection sends, in bytes.
 const GARBAGE_BYTES: usize = 4_096;
 
-/// A request whose body does not go on.
+/// A request that announces 1000 bytes of body and stops after a few.
 const HALF_BODY: &str = "POST /v1/contracts/letters/jobs HTTP/1.1\r\nhost: x\r\n\
      authorization: Bearer token-of-letters\r\nidempotency-key: k\r\n\
      content-length: 1000\r\nconnection: close\r\n\r\n{\"tasks\":";
 
-/// What a hostile connection sends: at once, and after the first answer.
-struct Input {
+/// Bytes that a hostile connection sends.
+struct HostileBytes {
+    /// Sent at once.
     head: Vec<u8>,
+    /// Sent after the first answer; empty for none.
     frame: Vec<u8>,
 }
 
@@ -43,9 +46,9 @@
             "{} connections send {:?} to {:?} of {}",
             step.connections, step.send, step.port, step.at
         );
-        self.say(format!("! {text}"));
+        self.write_line(format!("! {text}"));
         let address = self.address(step)?;
-        let input = bytes(step.send);
+        let input = hostile_bytes(step.send);
         let attempts = (0..step.connections).map(|_| attempt(address, &input));
         for status in join_all(attempts).await {
             if !status.is_some_and(|status| step.status.contains(&status)) {
@@ -53,23 +56,23 @@
                 return Err(ScenarioError::Unexpected(text));
             }
         }
-        self.say(format!(
+        self.write_line(format!(
             "< every connection ended, status {:?}",
             step.status
         ));
         self.check_memory()
     }
 
-    /// Checks that no process holds more memory than its bound.
+    /// Checks that no entry or agent uses more memory than its limit.
     fn check_memory(&mut self) -> Result<(), ScenarioError> {
         let processes = self.site.entries.iter().chain(&self.site.agents);
         let largest = processes
             .map(|process| process.usage().memory_kilobytes)
             .max();
         let largest = largest.unwrap_or_default();
-        self.figures.push(format!("most memory: {largest} kB"));
+        self.measurements.push(format!("most memory: {largest} kB"));
         if largest > MAX_MEMORY_KILOBYTES {
-            let text = format!("a process holds {largest} kB of memory");
+            let text = format!("a process uses {largest} kB of memory, more than allowed");
             return Err(ScenarioError::Unexpected(text));
         }
         Ok(())
@@ -89,14 +92,15 @@
     }
 }
 
-/// Sends bytes and waits until the peer closes the connection; returns the
-/// last status code that the peer sent, 0 without one, or none where the peer
-/// keeps the connection.
-async fn attempt(address: SocketAddr, input: &Input) -> Option<u16> {
+/// Sends bytes and waits until the peer closes the connection.
+///
+/// Returns the last status code that the peer sent, 0 if it sent none, or none
+/// if the peer did not close the connection in time.
+async fn attempt(address: SocketAddr, input: &HostileBytes) -> Option<u16> {
     timeout(REFUSED_WITHIN, exchange(address, input)).await.ok()
 }
 
-async fn exchange(address: SocketAddr, input: &Input) -> u16 {
+async fn exchange(address: SocketAddr, input: &HostileBytes) -> u16 {
     let Ok(mut stream) = TcpStream::connect(address).await else {
         return 0;
     };
@@ -111,13 +115,14 @@
     status(&String::from_utf8_lossy(&answer))
 }
 
+/// Returns the status code of the last response in `answer`, or 0 if there is none.
 fn status(answer: &str) -> u16 {
     let line = answer.lines().rfind(|line| line.starts_with("HTTP/1.1 "));
     let code = line.and_then(|line| line.split(' ').nth(1)?.parse().ok());
     code.unwrap_or_default()
 }
 
-fn bytes(input: HostileInput) -> Input {
+fn hostile_bytes(input: HostileInput) -> HostileBytes {
     let head: Vec<u8> = match input {
         HostileInput::Garbage => (0..=250).cycle().step_by(31).take(GARBAGE_BYTES).collect(),
         HostileInput::HalfHead => b"POST /v1/contracts/letters/jobs HTTP/1.1\r\nhost: x\r\n".into(),
@@ -138,7 +143,7 @@
         .concat(),
         _ => Vec::new(),
     };
-    Input { head, frame }
+    HostileBytes { head, frame }
 }
 
 fn handshake(protocol: &str, token: &str) -> String {
--- a/crates/bench/src/scenario/operators.rs
+++ b/crates/bench/src/scenario/operators.rs
@@ -1,4 +1,4 @@
-//! Operators that change the configuration.
+//! Steps in which operators change the configuration.
 
 use {
     crate::{
@@ -18,8 +18,8 @@
     },
 };
 
-/// A change on its way to an entry.
-struct Change {
+/// An operator's request that changes one row of the configuration.
+struct ChangeRequest {
     client: SiteClient,
     operators: SocketAddr,
     revision: u64,
@@ -29,10 +29,10 @@
 }
 
 impl ContractPlan {
-    /// Makes the contract.
+    /// Builds the contract, with the token that the bench's callers send.
     ///
     /// # Errors
-    /// Returns an error where the contract is not valid.
+    /// Returns an error if the contract is not valid.
     pub fn contract(&self) -> Result<Contract, ScenarioError> {
         let contract = Site::contract(&self.id)
             .in_flight_limit(self.in_flight_limit)
@@ -45,41 +45,41 @@
 
 impl Runner {
     pub(super) async fn operate(&mut self, step: &OperateStep) -> Result<(), ScenarioError> {
-        self.say(format!(
+        self.write_line(format!(
             "> operator at {}: {}, status {}",
             step.at,
             describe(step),
             step.status
         ));
-        let change = self.change(step).await?;
-        let status = change.send().await;
+        let request = self.change_request(step).await?;
+        let status = request.send().await;
         if status != step.status {
             let text = format!("operator got status {status}, not {}", step.status);
             return Err(ScenarioError::Unexpected(text));
         }
-        self.note_drain(step, status);
+        self.record_drain(step, status);
         Ok(())
     }
 
-    /// Sends changes at once; the sorted status codes must be the expected.
+    /// Sends changes concurrently; checks the status codes in any order.
     pub(super) async fn race(&mut self, step: &RaceStep) -> Result<(), ScenarioError> {
-        let mut changes = Vec::new();
+        let mut requests = Vec::new();
         for operator in &step.operators {
-            self.say(format!(
+            self.write_line(format!(
                 "> racing operator at {}: {}",
                 operator.at,
                 describe(operator)
             ));
-            changes.push(self.change(operator).await?.send());
+            requests.push(self.change_request(operator).await?.send());
         }
-        let mut statuses = join_all(changes).await;
+        let mut statuses = join_all(requests).await;
         for (operator, status) in step.operators.iter().zip(&statuses) {
-            self.note_drain(operator, *status);
+            self.record_drain(operator, *status);
         }
         let mut expected: Vec<u16> = step.operators.iter().map(|o| o.status).collect();
         statuses.sort_unstable();
         expected.sort_unstable();
-        self.say(format!("< {expected:?}"));
+        self.write_line(format!("< {expected:?}"));
         if statuses == expected {
             return Ok(());
         }
@@ -95,7 +95,7 @@
             step.at.join(", "),
             step.within
         );
-        self.say(format!("= {text}"));
+        self.write_line(format!("= {text}"));
         let mut entries = Vec::new();
         for name in &step.at {
             entries.push(self.entry(name)?);
@@ -104,7 +104,7 @@
         self.wait_for(&text, step.within, async |site| {
             let mut limits = Vec::new();
             for entry in &entries {
-                limits.push(limit(site, *entry, &step.contract).await);
+                limits.push(in_flight_limit(site, *entry, &step.contract).await);
             }
             let first = limits.first().copied().unwrap_or_default();
             limits.iter().all(|limit| *limit == first)
@@ -114,12 +114,12 @@
                     .any(|l| Some(u64::from(*l)) == first)
         })
         .await?;
-        self.figure("in force", since);
+        self.record_duration("in force", since);
         Ok(())
     }
 
-    /// Makes a change over what the asked entry shows.
-    async fn change(&self, step: &OperateStep) -> Result<Change, ScenarioError> {
+    /// Prepares a change on the revision that the entry of the step shows.
+    async fn change_request(&self, step: &OperateStep) -> Result<ChangeRequest, ScenarioError> {
         let (method, path, body) = if let Some(plan) = &step.contract {
             let contract = serde_json::to_string(&plan.contract()?);
             let body = contract.map_err(|e| ScenarioError::File(e.to_string()))?;
@@ -132,11 +132,11 @@
             (Method::DELETE, path, String::new())
         } else {
             return Err(ScenarioError::File(
-                "an operator must change something".to_owned(),
+                "an operator's step needs contract, drain or undrain".to_owned(),
             ));
         };
         let entry = self.entry(&step.at)?;
-        Ok(Change {
+        Ok(ChangeRequest {
             client: self.site.client.clone(),
             operators: self.site.plan.entry_operators(entry),
             revision: revision(&self.site, entry, step).await,
@@ -146,7 +146,7 @@
         })
     }
 
-    fn note_drain(&mut self, step: &OperateStep, status: u16) {
+    fn record_drain(&mut self, step: &OperateStep, status: u16) {
         let change = match (step.drain, step.undrain) {
             (Some(endpoint), _) => Some((endpoint, true)),
             (_, Some(endpoint)) => Some((endpoint, false)),
@@ -162,8 +162,8 @@
     }
 }
 
-impl Change {
-    /// Sends the change; returns the status, or 0 without an answer.
+impl ChangeRequest {
+    /// Sends the change; returns the status code, or 0 if no answer came.
     async fn send(self) -> u16 {
         let url = format!("http://{}{}", self.operators, self.path);
         let token = self.client.operator_header();
@@ -173,22 +173,23 @@
             ("content-type", "application/json"),
             ("if-match", revision.as_str()),
         ];
-        let asked = self.client.send(self.method, url, &headers, self.body);
-        asked.await.map_or(0, |reply: HttpReply| reply.status)
+        let reply = self.client.send(self.method, url, &headers, self.body);
+        reply.await.map_or(0, |reply: HttpReply| reply.status)
     }
 }
 
-/// Returns the revision of the row that a step changes, as the entry shows it.
+/// Returns the revision of the row that a step changes, as the entry shows it,
+/// or 0 if the entry does not show the row.
 async fn revision(site: &Site, entry: u16, step: &OperateStep) -> u64 {
     if let Some(plan) = &step.contract {
-        let page = page(site, entry, "/v1/contracts").await;
+        let page = fetch_page(site, entry, "/v1/contracts").await;
         return page["contracts"][&plan.id]["revision"]
             .as_u64()
             .unwrap_or_default();
     }
     let number = step.drain.or(step.undrain).unwrap_or_default();
     let name = format!("endpoint-{number}");
-    let page = page(site, entry, "/v1/endpoints").await;
+    let page = fetch_page(site, entry, "/v1/endpoints").await;
     let mut endpoints = page["endpoints"].as_array().into_iter().flatten();
     let of_step = endpoints.find(|endpoint| endpoint["endpoint"] == name.as_str());
     of_step.map_or(0, |endpoint| {
@@ -196,17 +197,18 @@
     })
 }
 
-async fn page(site: &Site, entry: u16, path: &str) -> Value {
+/// Fetches a page of an entry's operators, or null if no answer comes.
+async fn fetch_page(site: &Site, entry: u16, path: &str) -> Value {
     let operators = site.plan.entry_operators(entry);
-    let asked = site
+    let reply = site
         .client
         .operate(Method::GET, operators, path, String::new())
         .await;
-    asked.map_or(Value::Null, |reply| reply.body)
+    reply.map_or(Value::Null, |reply| reply.body)
 }
 
-async fn limit(site: &Site, entry: u16, contract: &str) -> Option<u64> {
-    let page = page(site, entry, "/v1/contracts").await;
+async fn in_flight_limit(site: &Site, entry: u16, contract: &str) -> Option<u64> {
+    let page = fetch_page(site, entry, "/v1/contracts").await;
     page["contracts"][contract]["in_flight_limit"].as_u64()
 }
 
--- a/crates/bench/src/scenario/run_scenario.rs
+++ b/crates/bench/src/scenario/run_scenario.rs
@@ -1,8 +1,8 @@
-//! Runs a scenario from its beginning to its judgement.
+//! Runs a scenario: starts its site, carries out its steps and checks the run.
 
 use {
     crate::{
-        scenario::{Closing, Scenario, ScenarioError, Session, SiteSize, runner::Runner},
+        scenario::{ClosingChecks, Scenario, ScenarioError, Session, SiteSize, runner::Runner},
         site::{Site, SitePlan},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -10,53 +10,53 @@
     tokio::time::sleep,
 };
 
-/// Longest time that a variant waits before a step, in milliseconds.
+/// Upper bound of the random delay before each step of a variant, in milliseconds.
 const MAX_DELAY_MS: u64 = 50;
 
-/// How long a new site may take until every process is linked.
+/// Time limit for a new site until every process is linked.
 const COMPLETE_WITHIN: Duration = Duration::from_secs(20);
 
-/// What a run leaves.
+/// The result of running a scenario.
 #[derive(Debug)]
 pub struct ScenarioRun {
-    /// What happened, without times and ports.
+    /// Text of the run, without times and ports, to compare with a golden file.
     pub session: Session,
-    /// Times that were measured.
+    /// Measured times and memory, and the folder of the logs of a failed run.
     pub figures: Vec<String>,
-    /// What went wrong, if anything did.
+    /// Why the run failed, if it did.
     pub ended: Result<(), ScenarioError>,
 }
 
 /// Runs a scenario on a site of its own.
 ///
-/// Variant 0 runs the steps as they are written; every other variant waits a
-/// little before each step, for times that the variant's number seeds.
+/// Variant 0 runs the steps as they are written. Every other variant waits a
+/// random time before each step; its number is the seed.
 ///
 /// # Errors
-/// Returns an error where the site does not come up.
+/// Returns an error if the site does not start or a contract is refused.
 pub async fn run_scenario(scenario: Scenario, variant: u64) -> Result<ScenarioRun, ScenarioError> {
     let site = Site::start(plan(&scenario.site)).await?;
     for contract in &scenario.contracts {
         site.create_contract(&contract.contract()?).await?;
     }
-    let mut runner = complete(site).await?;
-    runner.say(format!("# {}", scenario.about));
+    let mut runner = wait_until_complete(site).await?;
+    runner.write_line(format!("# {}", scenario.about));
     let ended = run_steps(&mut runner, &scenario, variant).await;
     let Runner {
         site,
         session,
-        mut figures,
+        mut measurements,
         ..
     } = runner;
-    // The logs of a run that went wrong stay.
+    // The logs of a failed run are kept.
     if ended.is_ok() {
         site.close();
     } else {
-        figures.push(format!("logs in {}", site.folder().display()));
+        measurements.push(format!("logs in {}", site.folder().display()));
     }
     Ok(ScenarioRun {
         session,
-        figures,
+        figures: measurements,
         ended,
     })
 }
@@ -70,22 +70,24 @@
         .build()
 }
 
-async fn complete(site: Site) -> Result<Runner, ScenarioError> {
-    let by = std::time::Instant::now() + COMPLETE_WITHIN;
+async fn wait_until_complete(site: Site) -> Result<Runner, ScenarioError> {
+    let deadline = std::time::Instant::now() + COMPLETE_WITHIN;
     while !site.is_complete().await {
-        if std::time::Instant::now() >= by {
-            let mut seen = String::new();
+        if std::time::Instant::now() >= deadline {
+            let mut statuses = String::new();
             for entry in 0..site.plan.entries() {
-                seen = format!("{seen}\n{}", site.status(entry).await);
+                statuses = format!("{statuses}\n{}", site.status(entry).await);
             }
-            return Err(ScenarioError::TooLate(format!("complete site: {seen}")));
+            return Err(ScenarioError::TooLate(format!(
+                "links of the new site: {statuses}"
+            )));
         }
         sleep(Duration::from_millis(20)).await;
     }
     Runner::new(site).await
 }
 
-/// Runs the steps; a run that went wrong is judged too.
+/// Carries out the steps and checks the run, also after a step that failed.
 async fn run_steps(
     runner: &mut Runner,
     scenario: &Scenario,
@@ -97,12 +99,12 @@
             sleep(Duration::from_millis(random.random_range(0..MAX_DELAY_MS))).await;
         }
         if let Err(error) = runner.step(step).await {
-            return Err(match runner.judge(Closing::default()).await {
+            return Err(match runner.verify(ClosingChecks::default()).await {
                 Ok(()) => error,
-                Err(broken) => ScenarioError::Unexpected(format!("{broken}; {error}")),
+                Err(violation) => ScenarioError::Unexpected(format!("{violation}; {error}")),
             });
         }
     }
     runner.collect_rest().await?;
-    runner.judge(scenario.closing).await
+    runner.verify(scenario.closing).await
 }
--- a/crates/bench/src/scenario/runner.rs
+++ b/crates/bench/src/scenario/runner.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        scenario::{Call, CallEnd, ScenarioError, Session, Step, Submission},
+        scenario::{CallKind, CallResult, ScenarioError, Session, Step, Submission},
         site::{Relay, Site, SiteProcess},
     },
     indexmap::IndexMap,
@@ -10,10 +10,10 @@
     tokio::{sync::oneshot, time::sleep},
 };
 
-/// Parts of entries at the beginning, in their order.
-pub(super) const PARTS: [&str; 3] = ["owner", "other", "third"];
+/// Roles of the entries at the start of a scenario; the owner serves the shard.
+pub(super) const ENTRY_ROLES: [&str; 3] = ["owner", "other", "third"];
 
-/// What an operator did to an endpoint, and when it was accepted.
+/// A change of an endpoint's drain, with the time at which it was accepted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DrainChange {
     pub(super) endpoint: u16,
@@ -26,28 +26,30 @@
 pub(super) struct Runner {
     pub(super) site: Site,
     pub(super) session: Session,
-    pub(super) ends: Vec<CallEnd>,
+    pub(super) results: Vec<CallResult>,
     pub(super) drains: Vec<DrainChange>,
-    pub(super) figures: Vec<String>,
-    parts: Vec<u16>,
+    pub(super) measurements: Vec<String>,
+    /// Numbers of the entries, in the order of [`ENTRY_ROLES`].
+    entries_by_role: Vec<u16>,
     submissions: IndexMap<String, Vec<Submission>>,
-    calls: IndexMap<String, Vec<oneshot::Receiver<CallEnd>>>,
+    /// Calls that no step has waited for, by name.
+    calls: IndexMap<String, Vec<oneshot::Receiver<CallResult>>>,
 }
 
 impl Runner {
-    /// Binds the parts to the entries of a complete site.
+    /// Assigns the roles to the entries of a site whose processes are linked.
     pub(super) async fn new(site: Site) -> Result<Self, ScenarioError> {
         let owner = site.serving_entry().await;
         let owner = owner.ok_or_else(|| ScenarioError::Unknown("owner".to_owned()))?;
         let others = (0..site.plan.entries()).filter(|entry| *entry != owner);
-        let parts = [owner].into_iter().chain(others).collect();
+        let entries_by_role = [owner].into_iter().chain(others).collect();
         Ok(Self {
             site,
             session: Session::default(),
-            ends: Vec::new(),
+            results: Vec::new(),
             drains: Vec::new(),
-            figures: Vec::new(),
-            parts,
+            measurements: Vec::new(),
+            entries_by_role,
             submissions: IndexMap::new(),
             calls: IndexMap::new(),
         })
@@ -56,19 +58,19 @@
     pub(super) async fn step(&mut self, step: &Step) -> Result<(), ScenarioError> {
         match step {
             Step::Submit(step) => self.submit(step),
-            Step::Ask(step) => self.ask(step, Call::Ask),
-            Step::Cancel(step) => self.ask(step, Call::Cancel),
+            Step::Ask(step) => self.ask(step, CallKind::Ask),
+            Step::Cancel(step) => self.ask(step, CallKind::Cancel),
             Step::Expect(step) => self.expect(step).await,
-            Step::Kill(names) => self.each(names, "kill", SiteProcess::kill),
+            Step::Kill(names) => self.for_each_process(names, "kill", SiteProcess::kill),
             Step::Freeze(names) => self.signal(names, "STOP"),
             Step::Wake(names) => self.signal(names, "CONT"),
             Step::Terminate(names) => self.terminate(names).await,
             Step::Restart(names) => self.restart(names),
-            Step::Cut(names) => self.disturb(names, "cut", Relay::cut),
-            Step::Silence(names) => self.disturb(names, "silence", Relay::silence),
+            Step::Cut(names) => self.for_each_relay(names, "cut", Relay::cut),
+            Step::Silence(names) => self.for_each_relay(names, "silence", Relay::silence),
             Step::Relinked(step) => self.relinked(step).await,
-            Step::Table(fault) => self.table(*fault).await,
-            Step::Endpoint(step) => self.endpoint(step).await,
+            Step::Table(fault) => self.set_table_fault(*fault).await,
+            Step::Endpoint(step) => self.set_endpoint_fault(step).await,
             Step::Operate(step) => self.operate(step).await,
             Step::Race(step) => self.race(step).await,
             Step::InForce(step) => self.in_force(step).await,
@@ -76,29 +78,30 @@
             Step::Serving(step) => self.serving(step).await,
             Step::Hostile(step) => self.hostile(step).await,
             Step::Pause(time) => {
-                self.say(format!("pause {time:?}"));
+                self.write_line(format!("pause {time:?}"));
                 sleep(*time).await;
                 Ok(())
             }
         }
     }
 
-    pub(super) fn say(&mut self, text: impl Into<String>) {
-        self.session.line(text);
+    /// Adds a line to the text that is compared with the golden file.
+    pub(super) fn write_line(&mut self, text: impl Into<String>) {
+        self.session.push_line(text);
     }
 
-    /// Notes a measured time; it goes to the report, not to the session.
-    pub(super) fn figure(&mut self, what: &str, since: Instant) {
-        let figure = format!("{what}: {} ms", since.elapsed().as_millis());
-        self.figures.push(figure);
+    /// Records the time since `since` as a measurement, outside the golden text.
+    pub(super) fn record_duration(&mut self, what: &str, since: Instant) {
+        let measurement = format!("{what}: {} ms", since.elapsed().as_millis());
+        self.measurements.push(measurement);
     }
 
-    /// Returns the number of the entry with this name or part.
+    /// Returns the number of the entry with this name or role.
     pub(super) fn entry(&self, name: &str) -> Result<u16, ScenarioError> {
-        let of_part = PARTS.iter().position(|part| *part == name);
-        let of_part = of_part.and_then(|part| self.parts.get(part).copied());
+        let of_role = ENTRY_ROLES.iter().position(|role| *role == name);
+        let of_role = of_role.and_then(|role| self.entries_by_role.get(role).copied());
         let of_name = || name.strip_prefix("entry-")?.parse().ok();
-        let entry = of_part.or_else(of_name);
+        let entry = of_role.or_else(of_name);
         entry
             .filter(|entry| *entry < self.site.plan.entries())
             .ok_or_else(|| ScenarioError::Unknown(name.to_owned()))
@@ -109,21 +112,21 @@
         known.ok_or_else(|| ScenarioError::Unknown(format!("submission {name}")))
     }
 
-    pub(super) fn keep_submissions(&mut self, name: &str, submissions: Vec<Submission>) {
+    pub(super) fn store_submissions(&mut self, name: &str, submissions: Vec<Submission>) {
         self.submissions.insert(name.to_owned(), submissions);
     }
 
-    pub(super) fn keep_call(&mut self, name: &str, end: oneshot::Receiver<CallEnd>) {
-        self.calls.entry(name.to_owned()).or_default().push(end);
+    pub(super) fn store_call(&mut self, name: &str, result: oneshot::Receiver<CallResult>) {
+        self.calls.entry(name.to_owned()).or_default().push(result);
     }
 
-    /// Takes the calls of a name that nobody waited for yet.
-    pub(super) fn take_calls(&mut self, name: &str) -> Vec<oneshot::Receiver<CallEnd>> {
+    /// Removes and returns the calls with this name that no step has waited for.
+    pub(super) fn take_calls(&mut self, name: &str) -> Vec<oneshot::Receiver<CallResult>> {
         self.calls.shift_remove(name).unwrap_or_default()
     }
 
-    /// Returns the names of calls that nobody waited for yet.
-    pub(super) fn open_calls(&self) -> Vec<String> {
+    /// Returns the names of the calls that no step has waited for.
+    pub(super) fn pending_calls(&self) -> Vec<String> {
         self.calls.keys().cloned().collect()
     }
 }
--- a/crates/bench/src/scenario/scenario_file.rs
+++ b/crates/bench/src/scenario/scenario_file.rs
@@ -1,4 +1,4 @@
-//! A scenario as its file says it.
+//! The file format of a scenario.
 
 use {
     crate::scenario::{ScenarioError, Step},
@@ -6,36 +6,36 @@
     serde::Deserialize,
 };
 
-/// What happens to a site, step by step.
+/// A site, the steps that act on it and the checks at the end.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What it shows.
+    /// One sentence that says what the scenario shows.
     pub about: String,
-    /// The site.
+    /// Size of the site.
     #[serde(default)]
     pub site: SiteSize,
-    /// Contracts that exist from the beginning.
+    /// Contracts that are created before the first step.
     #[serde(default)]
     pub contracts: Vec<ContractPlan>,
-    /// What happens, in order.
+    /// Steps, in the order in which they are carried out.
     pub steps: Vec<Step>,
-    /// What must hold at the end, besides the promises.
+    /// Checks at the end, in addition to those that hold for every scenario.
     #[serde(default)]
-    pub closing: Closing,
+    pub closing: ClosingChecks,
 }
 
 /// Size of a scenario's site.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SiteSize {
-    /// Entries.
+    /// Number of entries.
     pub entries: u16,
-    /// Endpoints, each with an agent.
+    /// Number of endpoints, each with an agent.
     pub endpoints: u16,
-    /// Slots of each endpoint.
+    /// Number of slots of each endpoint.
     pub slots: u32,
-    /// Whether links are led through relays that can cut or silence them.
+    /// Whether links pass through relays that can cut or silence them.
     pub relayed: bool,
 }
 
@@ -54,13 +54,13 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ContractPlan {
-    /// Name.
+    /// Id of the contract.
     pub id: String,
-    /// Most tasks that run at once.
+    /// Largest number of tasks that run at once.
     pub in_flight_limit: u32,
-    /// Most tasks that wait.
+    /// Largest number of tasks that wait.
     pub queue_limit: u32,
-    /// What happens beyond the share.
+    /// What happens to tasks beyond the contract's share.
     pub overflow: Overflow,
 }
 
@@ -75,21 +75,21 @@
     }
 }
 
-/// What must hold at the end, besides the promises.
+/// Checks at the end, in addition to those that hold for every scenario.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Closing {
-    /// Exact number of starts at all endpoints.
+pub struct ClosingChecks {
+    /// Exact number of different tasks that started, at all endpoints together.
     pub starts: Option<usize>,
     /// Whether every submission must have completed.
     pub zero_failed: bool,
 }
 
 impl Scenario {
-    /// Reads a scenario.
+    /// Parses the text of a scenario file, which is YAML.
     ///
     /// # Errors
-    /// Returns an error where the text is no scenario.
+    /// Returns an error if the text is not a valid scenario.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         serde_saphyr::from_str(text).map_err(|e| ScenarioError::File(e.to_string()))
     }
--- a/crates/bench/src/scenario/session.rs
+++ b/crates/bench/src/scenario/session.rs
@@ -1,16 +1,16 @@
-//! The text of a scenario's run, the same for every run that goes right.
+//! The text of a scenario's run, which is the same for every successful run.
 
 use std::fmt::{self, Display, Formatter};
 
-/// The text of a scenario's run.
+/// The text of a scenario's run, to compare with its golden file.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
     lines: Vec<String>,
 }
 
 impl Session {
-    /// Adds a line.
-    pub fn line(&mut self, text: impl Into<String>) {
+    /// Appends a line.
+    pub fn push_line(&mut self, text: impl Into<String>) {
         self.lines.push(text.into());
     }
 }
--- a/crates/bench/src/scenario/step.rs
+++ b/crates/bench/src/scenario/step.rs
@@ -1,4 +1,4 @@
-//! Steps of a scenario.
+//! Steps of a scenario, as its file has them.
 
 use {
     crate::{
@@ -11,52 +11,54 @@
 
 /// One step of a scenario.
 ///
-/// Processes are named `entry-0`, `agent-0`, `endpoint-0` and `table`; the
-/// entries also by their part at the beginning: `owner`, `other`, `third`.
+/// Processes are named `entry-0`, `agent-0`, `endpoint-0` and `table`. An entry
+/// may also be named by its role at the start of the scenario: `owner`, `other`
+/// or `third`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub enum Step {
-    /// Callers submit jobs; the scenario goes on meanwhile.
+    /// Callers submit jobs while the next steps are carried out.
     Submit(SubmitStep),
-    /// Callers ask for the answers of jobs.
+    /// Callers request the answers of jobs.
     Ask(AskStep),
     /// Callers cancel jobs.
     Cancel(AskStep),
-    /// Waits for answers and compares them.
+    /// Waits for the answers of calls and compares them with what is expected.
     Expect(ExpectStep),
     /// Kills processes.
     Kill(Vec<String>),
-    /// Freezes processes.
+    /// Suspends processes (`SIGSTOP`).
     Freeze(Vec<String>),
-    /// Lets frozen processes go on.
+    /// Resumes frozen processes (`SIGCONT`).
     Wake(Vec<String>),
-    /// Asks processes to stop and waits for their ends.
+    /// Sends processes `SIGTERM` and waits until they have exited.
     Terminate(Vec<String>),
-    /// Starts processes again under the same settings, killed where they run.
+    /// Kills processes that still run, and starts all with the same settings.
     Restart(Vec<String>),
-    /// Cuts the links to entries that are open now.
+    /// Cuts the open links to entries.
     Cut(Vec<String>),
-    /// Lets the links to entries that are open now go silent.
+    /// Drops all bytes of the open links to entries; the links stay open.
     Silence(Vec<String>),
     /// Waits until every agent and entry has a new link to a silenced entry.
     Relinked(RelinkedStep),
-    /// Sets what is wrong with the table.
+    /// Sets the fault of the table.
     Table(TableFault),
-    /// Sets what is wrong with an endpoint.
+    /// Sets the fault of an endpoint.
     Endpoint(EndpointStep),
     /// An operator changes the configuration.
     Operate(OperateStep),
-    /// Operators change the same row at once.
+    /// Operators change the configuration concurrently.
     Race(RaceStep),
-    /// Waits until every live entry has a contract's limit.
+    /// Waits until entries show the same in-flight limit of a contract.
     InForce(InForceStep),
     /// Waits until endpoints have started tasks of a submission.
     Started(StartedStep),
-    /// Waits until an entry serves with so many endpoints.
+    /// Waits until an entry serves with at least a number of endpoints.
     Serving(ServingStep),
-    /// Connections send what no caller, operator or process would.
+    /// Opens connections that send input which no caller, operator or process
+    /// would send.
     Hostile(HostileStep),
-    /// Waits.
+    /// Waits for this time.
     Pause(#[serde(with = "humantime_serde")] Duration),
 }
 
@@ -68,36 +70,36 @@
     pub name: String,
     /// Name of an earlier submission whose keys and bodies are sent again.
     pub again: Option<String>,
-    /// Name of an earlier submission whose keys come with other bodies.
+    /// Name of an earlier submission whose keys are reused with other bodies.
     pub keys_of: Option<String>,
-    /// Entry that is asked first, or `each` for all of them in turn.
+    /// Entry that gets the first attempt, or `each` for a different one per job.
     pub at: String,
-    /// Contract.
+    /// Id of the contract.
     pub contract: String,
     /// Number of jobs.
     pub jobs: u32,
-    /// Tasks of each job.
+    /// Number of tasks of each job.
     pub tasks: u16,
-    /// How long each task really runs.
+    /// Actual run time of each task, which is also the declared one.
     #[serde(with = "humantime_serde")]
     pub run: Duration,
     /// Length of each task's output, in bytes.
     pub output_bytes: usize,
-    /// Whether each task fails at its end.
+    /// Whether each task fails after its run time.
     pub fails: bool,
-    /// Time after which no task is started.
+    /// Time after submission from which on no task is started.
     #[serde(with = "humantime_serde")]
     pub deadline_in: Duration,
-    /// How long the entry may wait, as the caller says it.
+    /// Query parameter `wait`: how long the entry may wait for the job's end.
     pub wait: Option<String>,
-    /// Whether the caller says that it never sent the key before.
+    /// Whether the first attempt declares that the key was never sent before.
     pub first: bool,
-    /// Whether the caller asks on at other entries until it has an answer.
+    /// Whether the caller retries at the next entry until it gets a final answer.
     pub patient: bool,
-    /// Time after which the caller goes away.
+    /// Time after which the caller disconnects.
     #[serde(with = "humantime_serde")]
     pub leave_after: Option<Duration>,
-    /// Time between two jobs.
+    /// Time between two submissions.
     #[serde(with = "humantime_serde")]
     pub every: Duration,
 }
@@ -125,7 +127,7 @@
     }
 }
 
-/// Callers ask for or cancel the jobs of a submission.
+/// Callers request the answers of a submission's jobs, or cancel the jobs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AskStep {
@@ -133,10 +135,10 @@
     pub name: String,
     /// Name of the submission.
     pub of: String,
-    /// Entry that is asked.
+    /// Entry that gets the requests.
     #[serde(default = "owner")]
     pub at: String,
-    /// How long the entry may wait, as the caller says it.
+    /// Query parameter `wait`: how long the entry may wait for the job's end.
     #[serde(default = "ten_seconds")]
     pub wait: String,
 }
@@ -149,77 +151,79 @@
     "10s".to_owned()
 }
 
-/// Waits for answers and compares them.
+/// Waits for the answers of calls and compares them with what is expected.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExpectStep {
     /// Names of the calls.
     pub of: Vec<String>,
-    /// Status codes that every answer has one of; none at all is 0.
+    /// Allowed status codes; 0 stands for a call without an answer.
     pub status: Vec<u16>,
-    /// Status of the job that every answer tells.
+    /// Status of the job that every answer must state, if set.
     #[serde(default)]
     pub job: Option<String>,
-    /// Outcomes that every task has one of.
+    /// Allowed outcomes of the tasks; any if empty.
     #[serde(default)]
     pub outcomes: Vec<String>,
-    /// Name of the problem that every answer tells.
+    /// Name of the problem that every answer must state, if set.
     #[serde(default)]
     pub problem: Option<String>,
-    /// Bound on the time.
+    /// Time limit for all answers together.
     #[serde(with = "humantime_serde")]
     pub within: Duration,
 }
 
-/// Sets what is wrong with an endpoint.
+/// Sets the fault of an endpoint.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointStep {
     /// Number of the endpoint.
     pub number: u16,
-    /// What is wrong.
+    /// Fault that the endpoint simulates from now on.
     pub fault: EndpointFault,
 }
 
 /// An operator changes the configuration.
+///
+/// The change is the first that is set of `contract`, `drain` and `undrain`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperateStep {
-    /// Entry that is asked.
+    /// Entry that gets the request.
     #[serde(default = "owner")]
     pub at: String,
-    /// Contract to write over the present one.
+    /// Contract to create or replace.
     #[serde(default)]
     pub contract: Option<ContractPlan>,
     /// Number of an endpoint to drain.
     #[serde(default)]
     pub drain: Option<u16>,
-    /// Number of a drained endpoint that shall serve again.
+    /// Number of a drained endpoint that is to serve again.
     #[serde(default)]
     pub undrain: Option<u16>,
-    /// Status code of the answer.
+    /// Expected status code; 0 for no answer.
     pub status: u16,
 }
 
-/// Operators change the same row at once.
+/// Operators change the configuration concurrently.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RaceStep {
-    /// The changes.
+    /// The changes; their expected status codes may come in any order.
     pub operators: Vec<OperateStep>,
 }
 
-/// Waits until every live entry has a contract's limit.
+/// Waits until entries show the same in-flight limit of a contract.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InForceStep {
-    /// Contract.
+    /// Id of the contract.
     pub contract: String,
-    /// Limits, one of which it must have, the same at every entry.
+    /// Allowed limits; all entries must show the same one of them.
     pub in_flight_limit: Vec<u32>,
-    /// Entries that are asked.
+    /// Entries that must show the limit.
     pub at: Vec<String>,
-    /// Bound on the time.
+    /// Time limit.
     #[serde(with = "humantime_serde")]
     pub within: Duration,
 }
@@ -230,74 +234,75 @@
 pub struct StartedStep {
     /// Name of the submission.
     pub of: String,
-    /// Number of tasks.
+    /// Least number of starts of its tasks.
     pub tasks: usize,
-    /// Bound on the time.
+    /// Time limit.
     #[serde(with = "humantime_serde")]
     pub within: Duration,
 }
 
-/// Waits until an entry serves with so many endpoints.
+/// Waits until an entry serves with at least a number of endpoints.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServingStep {
-    /// Number of endpoints.
+    /// Least number of usable endpoints.
     pub endpoints: usize,
-    /// Bound on the time.
+    /// Time limit.
     #[serde(with = "humantime_serde")]
     pub within: Duration,
 }
 
-/// An address of a process.
+/// An address to which hostile connections go.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Port {
-    /// Callers of an entry.
+    /// Address of an entry for callers.
     Callers,
-    /// Operators of an entry.
+    /// Address of an entry for operators.
     Operators,
-    /// Links to an entry.
+    /// Address of an entry for links.
     Inner,
-    /// Operators of the first agent.
+    /// Address of the first agent for operators.
     Agent,
 }
 
-/// What a hostile connection sends.
+/// Input that a hostile connection sends.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum HostileInput {
     /// Bytes of no protocol.
     Garbage,
-    /// Half of a request's head.
+    /// A request whose head is incomplete.
     HalfHead,
-    /// Half of a request's body.
+    /// A request whose body is incomplete.
     HalfBody,
-    /// A link of a peer without the site's token.
+    /// A handshake of a link with a wrong site token.
     WrongToken,
-    /// A link of another version of the protocol.
+    /// A handshake of a link with an unsupported version of the protocol.
     WrongVersion,
-    /// A link whose peer never names itself.
+    /// A link that sends nothing after the handshake.
     NoHello,
-    /// A link with a frame that is no message.
+    /// A link with a frame that is not a valid message.
     BadFrame,
-    /// A link with a frame that is far too large.
+    /// A link with a frame that announces far too large a size.
     LargeFrame,
 }
 
-/// Connections send what no caller, operator or process would.
+/// Opens connections that send input which no caller, operator or process would
+/// send, and waits until the site has closed all of them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostileStep {
-    /// Entry.
+    /// Entry to which the connections go; unused for the agent's address.
     #[serde(default = "owner")]
     pub at: String,
-    /// Address.
+    /// Address of the entry or agent to which the connections go.
     pub port: Port,
-    /// What each connection sends.
+    /// Input that each connection sends.
     pub send: HostileInput,
-    /// Number of connections at once.
+    /// Number of concurrent connections.
     pub connections: usize,
-    /// Status codes that every connection gets one of; none at all is 0.
+    /// Allowed status codes; 0 stands for a connection closed without one.
     pub status: Vec<u16>,
 }
 
@@ -305,9 +310,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelinkedStep {
-    /// Entry.
+    /// Entry whose links were silenced.
     pub at: String,
-    /// Bound on the time.
+    /// Time limit.
     #[serde(with = "humantime_serde")]
     pub within: Duration,
 }
--- a/crates/bench/src/scenario/submission.rs
+++ b/crates/bench/src/scenario/submission.rs
@@ -1,4 +1,4 @@
-//! What callers sent and what they got.
+//! Requests of callers and their results.
 
 use {
     crate::{scenario::SubmitStep, site::HttpReply},
@@ -8,44 +8,44 @@
 /// One job as a caller submits it.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// Contract.
+    /// Id of the contract.
     pub contract: String,
     /// Idempotency key.
     pub key: String,
     /// Number of tasks.
     pub tasks: u16,
-    /// Length of each output, in bytes.
+    /// Least length of each output, in bytes; a shorter output is padded.
     pub output_bytes: usize,
     /// Body of the request.
     pub body: Value,
 }
 
-/// What kind of call it was.
+/// Kind of a caller's request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Call {
-    /// A submission.
+pub enum CallKind {
+    /// Submits a job.
     Submit,
-    /// A question for the answer.
+    /// Requests the answer of a job.
     Ask,
-    /// A cancellation.
+    /// Cancels a job.
     Cancel,
 }
 
-/// How a call ended.
+/// The result of a caller's request.
 #[derive(Clone, Debug)]
-pub struct CallEnd {
+pub struct CallResult {
     /// Name of the calls within the scenario.
     pub name: String,
-    /// What kind of call it was.
-    pub call: Call,
-    /// The job.
+    /// Kind of the request.
+    pub kind: CallKind,
+    /// The job that the request is about.
     pub submission: Submission,
-    /// The answer; none where the caller got none.
+    /// The answer; none if no answer came or the caller left.
     pub reply: Option<HttpReply>,
 }
 
 impl Submission {
-    /// Makes the submission number `number` of a step.
+    /// Builds the request for the job number `number` of a step.
     #[must_use]
     pub fn new(step: &SubmitStep, number: u32) -> Self {
         let input = json!({
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Returns the output that a task of the job has.
+    /// Returns the expected output of the job's task with this index.
     #[must_use]
     pub fn output(&self, index: usize) -> String {
         let mut output = format!("done {}/{}#{index}", self.contract, self.key);
@@ -80,14 +80,14 @@
     }
 }
 
-impl CallEnd {
-    /// Returns the status code, or 0 where there is no answer.
+impl CallResult {
+    /// Returns the status code, or 0 if there is no answer.
     #[must_use]
     pub fn status(&self) -> u16 {
         self.reply.as_ref().map_or(0, |reply| reply.status)
     }
 
-    /// Returns the body, or null where there is no answer.
+    /// Returns the body, or null if there is no answer.
     #[must_use]
     pub fn body(&self) -> &Value {
         self.reply
@@ -95,13 +95,13 @@
             .map_or(&Value::Null, |reply| &reply.body)
     }
 
-    /// Whether the answer is the whole answer of an ended job.
+    /// Returns whether the answer holds the outcomes of an ended job.
     #[must_use]
     pub fn is_answer(&self) -> bool {
         self.status() == 200 && self.body()["state"] == "ended"
     }
 
-    /// Returns the name of each task's outcome.
+    /// Returns the name of each task's outcome, `none` for a task without one.
     #[must_use]
     pub fn outcomes(&self) -> Vec<String> {
         let tasks = self.body()["tasks"].as_array();
--- a/crates/bench/src/scenario/waits.rs
+++ b/crates/bench/src/scenario/waits.rs
@@ -1,4 +1,4 @@
-//! Waits for what must come true within a bound.
+//! Steps that wait until a condition holds within a time limit.
 
 use {
     crate::{
@@ -9,51 +9,52 @@
     tokio::time::{sleep, timeout},
 };
 
-/// How often a condition is looked at.
-pub(super) const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Pause between two checks of a condition.
+pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long one look may take; a frozen process does not answer.
-const LOOK_WITHIN: Duration = Duration::from_millis(500);
+/// Time limit for one check, because a frozen process does not answer.
+const CHECK_WITHIN: Duration = Duration::from_millis(500);
 
 impl Runner {
-    /// Waits until a condition holds or a bound is over.
+    /// Waits until a condition holds; returns an error if it takes longer than
+    /// `within`, also if the last check succeeds too late.
     pub(super) async fn wait_for(
         &self,
         what: &str,
         within: Duration,
-        is_so: impl AsyncFn(&Site) -> bool,
+        condition: impl AsyncFn(&Site) -> bool,
     ) -> Result<(), ScenarioError> {
-        let by = Instant::now() + within;
+        let deadline = Instant::now() + within;
         loop {
-            let look = timeout(LOOK_WITHIN, is_so(&self.site)).await;
-            if Instant::now() >= by {
+            let holds = timeout(CHECK_WITHIN, condition(&self.site)).await;
+            if Instant::now() >= deadline {
                 return Err(ScenarioError::TooLate(what.to_owned()));
             }
-            if look == Ok(true) {
+            if holds == Ok(true) {
                 return Ok(());
             }
-            sleep(LOOK_INTERVAL).await;
+            sleep(CHECK_INTERVAL).await;
         }
     }
 
     pub(super) async fn relinked(&mut self, step: &RelinkedStep) -> Result<(), ScenarioError> {
         let text = format!("{} has new links within {:?}", step.at, step.within);
-        self.say(format!("= {text}"));
+        self.write_line(format!("= {text}"));
         let entry = usize::from(self.entry(&step.at)?);
         let plan = &self.site.plan;
-        let wanted = u64::from(plan.endpoints() + plan.entries() - 1);
+        let expected = u64::from(plan.endpoints() + plan.entries() - 1);
         let since = Instant::now();
         self.wait_for(&text, step.within, async |site| {
             let relay = site.relays.get(entry);
-            relay.is_some_and(|relay| relay.opened_since_silence() >= wanted)
+            relay.is_some_and(|relay| relay.opened_since_silence() >= expected)
         })
         .await?;
-        self.figure("silent links replaced", since);
+        self.record_duration("silent links replaced", since);
         Ok(())
     }
 
     pub(super) async fn started(&mut self, step: &StartedStep) -> Result<(), ScenarioError> {
-        self.say(format!("= {} tasks of {} started", step.tasks, step.of));
+        self.write_line(format!("= {} tasks of {} started", step.tasks, step.of));
         let keys: Vec<String> = self
             .submissions(&step.of)?
             .iter()
@@ -64,8 +65,12 @@
             let mut count = 0;
             for endpoint in 0..site.plan.endpoints() {
                 let log = site.starts(endpoint).await.unwrap_or_default();
-                let ours = |key: &str| keys.iter().any(|k| k == key);
-                count += log.starts.iter().filter(|s| ours(&s.task.key)).count();
+                let is_of_step = |key: &str| keys.iter().any(|k| k == key);
+                count += log
+                    .starts
+                    .iter()
+                    .filter(|s| is_of_step(&s.task.key))
+                    .count();
             }
             count >= step.tasks
         })
@@ -77,13 +82,13 @@
             "{} endpoints served within {:?}",
             step.endpoints, step.within
         );
-        self.say(format!("= {text}"));
+        self.write_line(format!("= {text}"));
         let since = Instant::now();
         self.wait_for(&text, step.within, async |site| {
             site.is_serving(step.endpoints).await
         })
         .await?;
-        self.figure("serving again", since);
+        self.record_duration("serving again", since);
         Ok(())
     }
 }
