--- a/crates/bench/src/scenario/faults.rs
+++ b/crates/bench/src/scenario/faults.rs
@@ -91,7 +91,7 @@
 
     pub(super) async fn set_table_fault(&mut self, fault: TableFault) -> Result<(), ScenarioError> {
         self.write_line(format!("! table {fault:?}"));
-        let address = self.site.plan.table();
+        let address = self.site.plan.table_address();
         if self.site.set_fault(address, json!(fault)).await {
             Ok(())
         } else {
--- a/crates/bench/src/site/launch.rs
+++ b/crates/bench/src/site/launch.rs
@@ -226,7 +226,7 @@
 }
 
 fn start_table(plan: &SitePlan, folder: &Path) -> Result<SiteProcess, SiteError> {
-    let listen = plan.table().to_string();
+    let listen = plan.table_address().to_string();
     let arguments = ["table", "--listen", &listen].map(str::to_owned);
     SiteProcess::start("table", "chestnutrun-bench", arguments, folder)
 }
@@ -251,7 +251,7 @@
         operators = plan.entry_operators(number),
         inner = plan.inner(number),
         announced = plan.announced_inner(number),
-        table = plan.table(),
+        table = plan.table_address(),
         folder = folder.display(),
         policy = plan.policy,
         level = plan.log_level,
--- a/crates/bench/src/site/site_plan.rs
+++ b/crates/bench/src/site/site_plan.rs
@@ -55,7 +55,7 @@
 
     /// Returns the address of the table.
     #[must_use]
-    pub fn table(&self) -> SocketAddr {
+    pub fn table_address(&self) -> SocketAddr {
         self.address(TABLE_PORT)
     }
 
--- a/crates/bench/tests/callers_http.rs
+++ b/crates/bench/tests/callers_http.rs
@@ -256,7 +256,7 @@
 }
 
 async fn set_fault(site: &Site, fault: &str) {
-    let url = format!("http://{}/fault", site.plan.table());
+    let url = format!("http://{}/fault", site.plan.table_address());
     let headers = [("content-type", "application/json")];
     let body = format!("\"{fault}\"");
     let set = site.client.send(Method::PUT, url, &headers, body).await;
--- a/crates/bench/tests/operators_http.rs
+++ b/crates/bench/tests/operators_http.rs
@@ -58,7 +58,7 @@
 }
 
 async fn fault(site: &Site, fault: Value) {
-    let url = format!("http://{}/fault", site.plan.table());
+    let url = format!("http://{}/fault", site.plan.table_address());
     let headers = [("content-type", "application/json")];
     let sent = site
         .client
--- a/crates/bench/tests/tls.rs
+++ b/crates/bench/tests/tls.rs
@@ -47,7 +47,7 @@
              inner: {}\ntable: {}\nsite_token_file: {at}/token\noperator_token_file: {at}/token\n\
              callers_tls:\n  {tls}\noperators_tls:\n  {tls}\n",
             plan.inner(0),
-            plan.table(),
+            plan.table_address(),
         );
         write(&folder, "entry-0.yaml", &settings);
         let arguments = ["--conf".to_owned(), format!("{at}/entry-0.yaml")];
