--- a/crates/bench/src/demo/cli_settings.rs
+++ b/crates/bench/src/demo/cli_settings.rs
@@ -16,7 +16,7 @@
     let mut text = format!(
         "callers: {callers}\noperators: [{operators}]\nagents: [{agents}]\n\
          operator_token_file: operator.token\ncontract_token_files:\n",
-        callers = plan.callers(0),
+        callers = plan.callers_address(0),
         operators = list(entries),
         agents = list(agents),
     );
--- a/crates/bench/src/demo/run_demo.rs
+++ b/crates/bench/src/demo/run_demo.rs
@@ -131,7 +131,7 @@
     let settings = write_cli_settings(site, profile)?;
     println!("The site stays up until Ctrl-C.");
     for number in 0..site.plan.entries() {
-        let callers = site.plan.callers(number);
+        let callers = site.plan.callers_address(number);
         let operators = site.plan.entry_operators(number);
         println!("entry-{number}: callers http://{callers}, operators http://{operators}");
     }
--- a/crates/bench/src/demo/send_opening.rs
+++ b/crates/bench/src/demo/send_opening.rs
@@ -83,7 +83,7 @@
     }
 
     async fn submit(&self, job: &PlannedJob, entry: u16) -> Option<HttpReply> {
-        let callers = self.plan.callers(entry);
+        let callers = self.plan.callers_address(entry);
         let contract = job.kind.contract;
         self.client
             .submit(callers, contract, &job.key, &job.body())
--- a/crates/bench/src/experiment/real_run.rs
+++ b/crates/bench/src/experiment/real_run.rs
@@ -89,7 +89,7 @@
             "deadline_in": format!("{}ms", contract.deadline_in.as_millis()),
         });
         let entry = u16::try_from(number % usize::from(self.conf.site.entries));
-        let callers = site.plan.callers(entry.unwrap_or_default());
+        let callers = site.plan.callers_address(entry.unwrap_or_default());
         let key = format!("job-{number}");
         let began = Instant::now();
         let reply = site
--- a/crates/bench/src/scenario/calls.rs
+++ b/crates/bench/src/scenario/calls.rs
@@ -91,7 +91,7 @@
         let at = self.entry(&step.at)?;
         for submission in self.submissions(&step.of)?.clone() {
             let client = self.site.client.clone();
-            let callers = self.site.plan.callers(at);
+            let callers = self.site.plan.callers_address(at);
             let (of, wait) = (submission.clone(), step.wait.clone());
             let reply = async move {
                 match kind {
@@ -133,7 +133,9 @@
     /// Returns the callers' addresses of all entries, beginning with entry `first`.
     fn entries_from(&self, first: usize) -> Vec<SocketAddr> {
         let count = self.site.plan.entries();
-        let mut entries: Vec<SocketAddr> = (0..count).map(|n| self.site.plan.callers(n)).collect();
+        let mut entries: Vec<SocketAddr> = (0..count)
+            .map(|n| self.site.plan.callers_address(n))
+            .collect();
         entries.rotate_left(first % usize::from(count));
         entries
     }
--- a/crates/bench/src/site/launch.rs
+++ b/crates/bench/src/site/launch.rs
@@ -247,7 +247,7 @@
          operator_token_file: {folder}/operator.token\npolicy: {policy}\n\
          log:\n  level: {level}\n",
         zone = plan.zone(number),
-        callers = plan.callers(number),
+        callers = plan.callers_address(number),
         operators = plan.entry_operators(number),
         inner = plan.inner(number),
         announced = plan.announced_inner(number),
--- a/crates/bench/src/site/site_plan.rs
+++ b/crates/bench/src/site/site_plan.rs
@@ -61,7 +61,7 @@
 
     /// Returns the address of an entry for callers.
     #[must_use]
-    pub fn callers(&self, entry: u16) -> SocketAddr {
+    pub fn callers_address(&self, entry: u16) -> SocketAddr {
         self.address(FIRST_ENTRY_PORT + entry * PORTS_PER_PROCESS)
     }
 
--- a/crates/bench/src/slopes/load_cost.rs
+++ b/crates/bench/src/slopes/load_cost.rs
@@ -102,7 +102,7 @@
 async fn submit_until(site: &Site, caller: u16, job_tasks: u16, end: Instant, jobs: &Cell<u64>) {
     let task = json!({"kind": "short", "declared_run_time": "5ms", "input": "{\"run_ms\":5}"});
     let body = json!({"tasks": vec![task; usize::from(job_tasks)]});
-    let callers = site.plan.callers(caller % site.plan.entries());
+    let callers = site.plan.callers_address(caller % site.plan.entries());
     let mut number = 0_u64;
     while Instant::now() < end {
         number += 1;
--- a/crates/bench/tests/callers_http.rs
+++ b/crates/bench/tests/callers_http.rs
@@ -167,7 +167,7 @@
 }
 
 async fn check(site: &Site, case: &Refused) {
-    let url = format!("http://{}{}", site.plan.callers(0), case.path);
+    let url = format!("http://{}{}", site.plan.callers_address(0), case.path);
     let sent = site
         .client
         .send(case.method.clone(), url, &case.headers, case.body.clone())
@@ -199,7 +199,7 @@
     block_on(async {
         let site = site().await;
         let body = "{\n  \"tasks\": [],\n  \"colour\": 1\n}";
-        let url = format!("http://{}{JOBS}", site.plan.callers(0));
+        let url = format!("http://{}{JOBS}", site.plan.callers_address(0));
         let sent = site
             .client
             .send(Method::POST, url, &[TOKEN, KEY], body.to_owned())
@@ -217,7 +217,7 @@
 fn a_key_with_another_body_claims_nothing() {
     block_on(async {
         let site = site().await;
-        let callers = site.plan.callers(0);
+        let callers = site.plan.callers_address(0);
         let first = json!({"tasks": [{"kind": "stamp", "declared_run_time": "1ms"}]});
         let other = json!({"tasks": [{"kind": "letter", "declared_run_time": "1ms"}]});
         let reply = site.client.submit(callers, "letters", "k1", &first).await;
@@ -238,7 +238,7 @@
         set_fault(&site, "refusing").await;
         site.entries[0].restart().expect("it starts");
         let job = json!({"tasks": [{"kind": "stamp", "declared_run_time": "1ms"}]});
-        let callers = site.plan.callers(0);
+        let callers = site.plan.callers_address(0);
         let by = Instant::now() + Duration::from_secs(10);
         let reply = loop {
             match site.client.submit(callers, "letters", "k1", &job).await {
@@ -275,7 +275,7 @@
         let owner = usize::from(shards.as_array().is_none_or(Vec::is_empty));
         set_fault(&site, "refusing").await;
         site.entries[owner].kill();
-        let other = site.plan.callers(u16::from(owner == 0));
+        let other = site.plan.callers_address(u16::from(owner == 0));
         let url = format!("http://{other}{JOBS}?wait=0s");
         let headers = [TOKEN, KEY, FIRST];
         let sent = site.client.send(Method::POST, url, &headers, job_of(1));
@@ -302,7 +302,7 @@
 /// Sends bytes as they are, closes the sending half where asked, and returns
 /// what comes back.
 async fn raw(site: &Site, bytes: &[u8], shut: bool) -> String {
-    let mut stream = TcpStream::connect(site.plan.callers(0))
+    let mut stream = TcpStream::connect(site.plan.callers_address(0))
         .await
         .expect("it listens");
     stream.write_all(bytes).await.expect("it takes bytes");
--- a/crates/bench/tests/golden_session/mod.rs
+++ b/crates/bench/tests/golden_session/mod.rs
@@ -61,7 +61,7 @@
         headers: Headers<'_>,
         body: &Value,
     ) -> HttpReply {
-        let address = self.site.plan.callers(entry);
+        let address = self.site.plan.callers_address(entry);
         let token = ("authorization", "Bearer token-of-letters");
         let line = format!("> caller, entry-{entry}: {method} {path}");
         let url = format!("http://{address}{path}");
--- a/crates/bench/tests/observation.rs
+++ b/crates/bench/tests/observation.rs
@@ -45,7 +45,7 @@
         let body = json!({"tasks": [
             {"kind": "honorific", "declared_run_time": "1ms", "input": "{\"run_ms\":1}"},
         ]});
-        let callers = site.plan.callers(1);
+        let callers = site.plan.callers_address(1);
         let reply = site.client.submit(callers, "letters", "k1", &body).await;
         assert_eq!(reply.expect("an answer comes").status, 200);
         let mut owner = String::new();
--- a/crates/bench/tests/openapi.rs
+++ b/crates/bench/tests/openapi.rs
@@ -21,8 +21,14 @@
 
 impl Session {
     async fn call(&mut self, method: Method, path: &str, body: &Value) -> HttpReply {
-        self.send(self.site.plan.callers(0), CALLER, method, path, body)
-            .await
+        self.send(
+            self.site.plan.callers_address(0),
+            CALLER,
+            method,
+            path,
+            body,
+        )
+        .await
     }
 
     async fn operate(&mut self, method: Method, path: &str, body: &Value) -> HttpReply {
--- a/crates/bench/tests/operators_http.rs
+++ b/crates/bench/tests/operators_http.rs
@@ -256,7 +256,7 @@
         contract.token_hash = contract.token_hash.to_ascii_uppercase();
         site.create_contract(&contract).await.expect("in force");
         let job = json!({"tasks": [{"kind": "stamp", "declared_run_time": "1ms"}]});
-        let callers = site.plan.callers(0);
+        let callers = site.plan.callers_address(0);
         let reply = site.client.submit(callers, "letters", "k1", &job).await;
         let reply = reply.expect("an answer comes");
         assert_eq!(reply.status, 200, "{}", reply.body);
--- a/crates/bench/tests/smoke.rs
+++ b/crates/bench/tests/smoke.rs
@@ -25,7 +25,7 @@
             {"kind": "honorific", "declared_run_time": "1ms", "input": "{\"run_ms\":1}"},
             {"kind": "stamp", "declared_run_time": "1ms", "input": "{\"run_ms\":1}"},
         ]});
-        let callers = site.plan.callers(entry);
+        let callers = site.plan.callers_address(entry);
         let reply = site.client.submit(callers, "letters", "k1", &body).await;
         let reply = reply.expect("an answer comes");
         assert_eq!(reply.status, 200, "{}", reply.body);
--- a/crates/bench/tests/tls.rs
+++ b/crates/bench/tests/tls.rs
@@ -30,7 +30,7 @@
 impl TlsEntry {
     fn start() -> Self {
         let plan = SitePlan::builder().build();
-        let callers = plan.callers(0);
+        let callers = plan.callers_address(0);
         let operators = plan.entry_operators(0);
         let folder = std::env::temp_dir().join(format!("chestnutrun-tls-{}", callers.ip()));
         fs::create_dir_all(&folder).expect("a folder can be made");
--- a/crates/cli/tests/sessions.rs
+++ b/crates/cli/tests/sessions.rs
@@ -39,7 +39,7 @@
         format!(
             "callers: {}\noperators: {}\nagents: {}\noperator_token_file: operator.token\n\
              contract_token_files:\n  letters: letters.token\n",
-            plan.callers(1),
+            plan.callers_address(1),
             list(entries.collect()),
             list(agents.collect()),
         )
