--- a/crates/bench/src/demo/cli_settings.rs
+++ b/crates/bench/src/demo/cli_settings.rs
@@ -11,7 +11,7 @@
 /// Writes settings and tokens into the site's folder; returns the settings file.
 pub(crate) fn write_cli_settings(site: &Site, profile: &SiteProfile) -> io::Result<PathBuf> {
     let plan = &site.plan;
-    let entries = (0..plan.entries()).map(|number| plan.entry_operators(number));
+    let entries = (0..plan.entries()).map(|number| plan.entry_operators_address(number));
     let agents = (0..plan.endpoints()).map(|number| plan.agent_operators(number));
     let mut text = format!(
         "callers: {callers}\noperators: [{operators}]\nagents: [{agents}]\n\
--- a/crates/bench/src/demo/messages.rs
+++ b/crates/bench/src/demo/messages.rs
@@ -33,7 +33,7 @@
     pub(crate) async fn read(site: &Site) -> Result<Self, SiteError> {
         let mut sum = Self::default();
         let plan = &site.plan;
-        let entries = (0..plan.entries()).map(|number| plan.entry_operators(number));
+        let entries = (0..plan.entries()).map(|number| plan.entry_operators_address(number));
         let agents = (0..plan.endpoints()).map(|number| plan.agent_operators(number));
         for operators in entries.chain(agents) {
             let page = site
--- a/crates/bench/src/demo/run_demo.rs
+++ b/crates/bench/src/demo/run_demo.rs
@@ -132,7 +132,7 @@
     println!("The site stays up until Ctrl-C.");
     for number in 0..site.plan.entries() {
         let callers = site.plan.callers_address(number);
-        let operators = site.plan.entry_operators(number);
+        let operators = site.plan.entry_operators_address(number);
         println!("entry-{number}: callers http://{callers}, operators http://{operators}");
     }
     for number in 0..site.plan.endpoints() {
--- a/crates/bench/src/experiment/site_messages.rs
+++ b/crates/bench/src/experiment/site_messages.rs
@@ -13,7 +13,7 @@
 pub async fn messages(site: &Site) -> u64 {
     let mut count = 0;
     for number in 0..site.plan.entries() {
-        let operators = site.plan.entry_operators(number);
+        let operators = site.plan.entry_operators_address(number);
         let asked = site
             .client
             .operate(Method::GET, operators, "/metrics", String::new())
--- a/crates/bench/src/scenario/hostile.rs
+++ b/crates/bench/src/scenario/hostile.rs
@@ -86,7 +86,7 @@
         let entry = self.entry(&step.at)?;
         Ok(match step.port {
             Port::Callers => plan.callers_address(entry),
-            Port::Operators => plan.entry_operators(entry),
+            Port::Operators => plan.entry_operators_address(entry),
             Port::Inner | Port::Agent => plan.inner(entry),
         })
     }
--- a/crates/bench/src/scenario/operators.rs
+++ b/crates/bench/src/scenario/operators.rs
@@ -138,7 +138,7 @@
         let entry = self.entry(&step.at)?;
         Ok(ChangeRequest {
             client: self.site.client.clone(),
-            operators: self.site.plan.entry_operators(entry),
+            operators: self.site.plan.entry_operators_address(entry),
             revision: revision(&self.site, entry, step).await,
             method,
             path,
@@ -199,7 +199,7 @@
 
 /// Fetches a page of an entry's operators, or null if no answer comes.
 async fn fetch_page(site: &Site, entry: u16, path: &str) -> Value {
-    let operators = site.plan.entry_operators(entry);
+    let operators = site.plan.entry_operators_address(entry);
     let reply = site
         .client
         .operate(Method::GET, operators, path, String::new())
--- a/crates/bench/src/site/launch.rs
+++ b/crates/bench/src/site/launch.rs
@@ -107,7 +107,7 @@
     /// # Errors
     /// Returns an error if the contract is refused, or not in force in time.
     pub async fn create_contract(&self, contract: &Contract) -> Result<(), SiteError> {
-        let operators = self.plan.entry_operators(0);
+        let operators = self.plan.entry_operators_address(0);
         self.client.create_contract(operators, contract).await?;
         let deadline = Instant::now() + READY_WITHIN;
         for number in 0..self.plan.entries {
@@ -144,7 +144,7 @@
 
     /// Returns the status of an entry, or null if it does not answer.
     pub async fn status(&self, entry: u16) -> serde_json::Value {
-        let operators = self.plan.entry_operators(entry);
+        let operators = self.plan.entry_operators_address(entry);
         let reply = self
             .client
             .operate(Method::GET, operators, "/v1/status", String::new());
@@ -166,7 +166,7 @@
     }
 
     async fn has_contract(&self, entry: u16, id: &str) -> bool {
-        let operators = self.plan.entry_operators(entry);
+        let operators = self.plan.entry_operators_address(entry);
         let reply = self
             .client
             .operate(Method::GET, operators, "/v1/contracts", String::new())
@@ -248,7 +248,7 @@
          log:\n  level: {level}\n",
         zone = plan.zone(number),
         callers = plan.callers_address(number),
-        operators = plan.entry_operators(number),
+        operators = plan.entry_operators_address(number),
         inner = plan.inner(number),
         announced = plan.announced_inner(number),
         table = plan.table_address(),
--- a/crates/bench/src/site/site_plan.rs
+++ b/crates/bench/src/site/site_plan.rs
@@ -67,7 +67,7 @@
 
     /// Returns the address of an entry for operators.
     #[must_use]
-    pub fn entry_operators(&self, entry: u16) -> SocketAddr {
+    pub fn entry_operators_address(&self, entry: u16) -> SocketAddr {
         self.address(FIRST_ENTRY_PORT + entry * PORTS_PER_PROCESS + 1)
     }
 
--- a/crates/bench/tests/observation.rs
+++ b/crates/bench/tests/observation.rs
@@ -50,7 +50,7 @@
         assert_eq!(reply.expect("an answer comes").status, 200);
         let mut owner = String::new();
         for number in 0..site.plan.entries() {
-            let page = metrics(&site, site.plan.entry_operators(number)).await;
+            let page = metrics(&site, site.plan.entry_operators_address(number)).await;
             if page.contains("chestnutrun_ownership_epoch{shard=\"0\"} 1") {
                 owner = page;
             }
@@ -69,7 +69,7 @@
                 "chestnutrun_table_requests_total{operation=\"write\",outcome=\"done\"}",
             ],
         );
-        let asked = metrics(&site, site.plan.entry_operators(1)).await;
+        let asked = metrics(&site, site.plan.entry_operators_address(1)).await;
         assert_shows(
             &asked,
             &[
--- a/crates/bench/tests/openapi.rs
+++ b/crates/bench/tests/openapi.rs
@@ -33,7 +33,7 @@
 
     async fn operate(&mut self, method: Method, path: &str, body: &Value) -> HttpReply {
         self.send(
-            self.site.plan.entry_operators(0),
+            self.site.plan.entry_operators_address(0),
             OPERATOR,
             method,
             path,
--- a/crates/bench/tests/operators_http.rs
+++ b/crates/bench/tests/operators_http.rs
@@ -32,7 +32,7 @@
     headers: &[(&str, &str)],
     body: String,
 ) -> HttpReply {
-    let url = format!("http://{}{path}", site.plan.entry_operators(entry));
+    let url = format!("http://{}{path}", site.plan.entry_operators_address(entry));
     let headers = [&[AUTH], headers].concat();
     let sent = site.client.send(method.clone(), url, &headers, body).await;
     let reply = sent.expect("an answer comes");
@@ -224,7 +224,7 @@
 ) {
     block_on(async move {
         let site = site(1).await;
-        let url = format!("http://{}{path}", site.plan.entry_operators(0));
+        let url = format!("http://{}{path}", site.plan.entry_operators_address(0));
         let headers = [("if-match", if_match), AUTH];
         let headers = if if_match.is_empty() {
             &headers[..0]
--- a/crates/bench/tests/tls.rs
+++ b/crates/bench/tests/tls.rs
@@ -31,7 +31,7 @@
     fn start() -> Self {
         let plan = SitePlan::builder().build();
         let callers = plan.callers_address(0);
-        let operators = plan.entry_operators(0);
+        let operators = plan.entry_operators_address(0);
         let folder = std::env::temp_dir().join(format!("chestnutrun-tls-{}", callers.ip()));
         fs::create_dir_all(&folder).expect("a folder can be made");
         let names = [callers.ip().to_string()];
--- a/crates/cli/tests/sessions.rs
+++ b/crates/cli/tests/sessions.rs
@@ -34,7 +34,7 @@
     fn settings(&self) -> String {
         let plan = &self.site.plan;
         let list = |addresses: Vec<String>| format!("[\"{}\"]", addresses.join("\", \""));
-        let entries = (0..plan.entries()).map(|i| plan.entry_operators(i).to_string());
+        let entries = (0..plan.entries()).map(|i| plan.entry_operators_address(i).to_string());
         let agents = (0..plan.endpoints()).map(|i| plan.agent_operators(i).to_string());
         format!(
             "callers: {}\noperators: {}\nagents: {}\noperator_token_file: operator.token\n\
