--- a/crates/bench/src/demo/cli_settings.rs
+++ b/crates/bench/src/demo/cli_settings.rs
@@ -12,7 +12,7 @@
 pub(crate) fn write_cli_settings(site: &Site, profile: &SiteProfile) -> io::Result<PathBuf> {
     let plan = &site.plan;
     let entries = (0..plan.entries()).map(|number| plan.entry_operators_address(number));
-    let agents = (0..plan.endpoints()).map(|number| plan.agent_operators(number));
+    let agents = (0..plan.endpoints()).map(|number| plan.agent_operators_address(number));
     let mut text = format!(
         "callers: {callers}\noperators: [{operators}]\nagents: [{agents}]\n\
          operator_token_file: operator.token\ncontract_token_files:\n",
--- a/crates/bench/src/demo/messages.rs
+++ b/crates/bench/src/demo/messages.rs
@@ -34,7 +34,7 @@
         let mut sum = Self::default();
         let plan = &site.plan;
         let entries = (0..plan.entries()).map(|number| plan.entry_operators_address(number));
-        let agents = (0..plan.endpoints()).map(|number| plan.agent_operators(number));
+        let agents = (0..plan.endpoints()).map(|number| plan.agent_operators_address(number));
         for operators in entries.chain(agents) {
             let page = site
                 .client
--- a/crates/bench/src/demo/run_demo.rs
+++ b/crates/bench/src/demo/run_demo.rs
@@ -136,7 +136,7 @@
         println!("entry-{number}: callers http://{callers}, operators http://{operators}");
     }
     for number in 0..site.plan.endpoints() {
-        let operators = site.plan.agent_operators(number);
+        let operators = site.plan.agent_operators_address(number);
         println!("agent-{number}: operators http://{operators}");
     }
     println!("tokens: {}/*.token", site.folder().display());
--- a/crates/bench/src/scenario/hostile.rs
+++ b/crates/bench/src/scenario/hostile.rs
@@ -81,7 +81,7 @@
     fn address(&self, step: &HostileStep) -> Result<SocketAddr, ScenarioError> {
         let plan = &self.site.plan;
         if step.port == Port::Agent {
-            return Ok(plan.agent_operators(0));
+            return Ok(plan.agent_operators_address(0));
         }
         let entry = self.entry(&step.at)?;
         Ok(match step.port {
--- a/crates/bench/src/site/launch.rs
+++ b/crates/bench/src/site/launch.rs
@@ -274,7 +274,7 @@
         slots = plan.slots,
         connections = plan.connections,
         entries = entries.join(", "),
-        operators = plan.agent_operators(number),
+        operators = plan.agent_operators_address(number),
         folder = folder.display(),
         level = plan.log_level,
     );
--- a/crates/bench/src/site/site_plan.rs
+++ b/crates/bench/src/site/site_plan.rs
@@ -90,7 +90,7 @@
 
     /// Returns the address of an agent for operators.
     #[must_use]
-    pub fn agent_operators(&self, endpoint: u16) -> SocketAddr {
+    pub fn agent_operators_address(&self, endpoint: u16) -> SocketAddr {
         self.address(FIRST_AGENT_PORT + endpoint * PORTS_PER_PROCESS)
     }
 
--- a/crates/bench/tests/observation.rs
+++ b/crates/bench/tests/observation.rs
@@ -79,7 +79,7 @@
         );
         let mut agents = String::new();
         for number in 0..site.plan.endpoints() {
-            agents += &metrics(&site, site.plan.agent_operators(number)).await;
+            agents += &metrics(&site, site.plan.agent_operators_address(number)).await;
         }
         assert_shows(
             &agents,
--- a/crates/cli/tests/sessions.rs
+++ b/crates/cli/tests/sessions.rs
@@ -35,7 +35,7 @@
         let plan = &self.site.plan;
         let list = |addresses: Vec<String>| format!("[\"{}\"]", addresses.join("\", \""));
         let entries = (0..plan.entries()).map(|i| plan.entry_operators_address(i).to_string());
-        let agents = (0..plan.endpoints()).map(|i| plan.agent_operators(i).to_string());
+        let agents = (0..plan.endpoints()).map(|i| plan.agent_operators_address(i).to_string());
         format!(
             "callers: {}\noperators: {}\nagents: {}\noperator_token_file: operator.token\n\
              contract_token_files:\n  letters: letters.token\n",
