--- a/crates/bench/src/demo/run_demo.rs
+++ b/crates/bench/src/demo/run_demo.rs
@@ -118,7 +118,7 @@
 }
 
 async fn start_log(site: &Site, number: u16) -> Result<StartLog, SiteError> {
-    let address = site.plan.endpoint(number);
+    let address = site.plan.endpoint_address(number);
     let reply = site
         .client
         .operate(Method::GET, address, "/starts", String::new())
--- a/crates/bench/src/experiment/real_run.rs
+++ b/crates/bench/src/experiment/real_run.rs
@@ -194,7 +194,7 @@
 
 async fn set_faults(site: &Site, numbers: std::ops::Range<u16>, fault: EndpointFault) {
     for number in numbers {
-        let url = format!("http://{}/fault", site.plan.endpoint(number));
+        let url = format!("http://{}/fault", site.plan.endpoint_address(number));
         let body = json!(fault).to_string();
         let headers = [("content-type", "application/json")];
         // An endpoint that is gone cannot be told.
--- a/crates/bench/src/scenario/faults.rs
+++ b/crates/bench/src/scenario/faults.rs
@@ -104,7 +104,7 @@
         step: &EndpointStep,
     ) -> Result<(), ScenarioError> {
         self.write_line(format!("! endpoint-{} {:?}", step.number, step.fault));
-        let address = self.site.plan.endpoint(step.number);
+        let address = self.site.plan.endpoint_address(step.number);
         if self.site.set_fault(address, json!(step.fault)).await {
             Ok(())
         } else {
--- a/crates/bench/src/site/launch.rs
+++ b/crates/bench/src/site/launch.rs
@@ -233,7 +233,7 @@
 
 fn start_endpoint(plan: &SitePlan, folder: &Path, number: u16) -> Result<SiteProcess, SiteError> {
     let name = format!("endpoint-{number}");
-    let listen = plan.endpoint(number).to_string();
+    let listen = plan.endpoint_address(number).to_string();
     let slots = plan.slots.to_string();
     let arguments = ["endpoint", "--listen", &listen, "--slots", &slots].map(str::to_owned);
     SiteProcess::start(name, "chestnutrun-bench", arguments, folder)
@@ -270,7 +270,7 @@
          operators: {operators}\nsite_token_file: {folder}/site.token\n\
          log:\n  level: {level}\n",
         zone = plan.zone(number),
-        endpoint = plan.endpoint(number),
+        endpoint = plan.endpoint_address(number),
         slots = plan.slots,
         connections = plan.connections,
         entries = entries.join(", "),
--- a/crates/bench/src/site/lookup.rs
+++ b/crates/bench/src/site/lookup.rs
@@ -49,7 +49,7 @@
 
     /// Returns the starts that an endpoint logged, or none if it is down.
     pub async fn starts(&self, endpoint: u16) -> Option<StartLog> {
-        let url = format!("http://{}/starts", self.plan.endpoint(endpoint));
+        let url = format!("http://{}/starts", self.plan.endpoint_address(endpoint));
         let reply = self.client.send(Method::GET, url, &[], String::new()).await;
         serde_json::from_value(reply.ok()?.body).ok()
     }
--- a/crates/bench/src/site/site_plan.rs
+++ b/crates/bench/src/site/site_plan.rs
@@ -96,7 +96,7 @@
 
     /// Returns the address of the stand-in for an endpoint.
     #[must_use]
-    pub fn endpoint(&self, endpoint: u16) -> SocketAddr {
+    pub fn endpoint_address(&self, endpoint: u16) -> SocketAddr {
         self.address(FIRST_AGENT_PORT + endpoint * PORTS_PER_PROCESS + 1)
     }
 
--- a/crates/bench/tests/callers_http.rs
+++ b/crates/bench/tests/callers_http.rs
@@ -375,7 +375,7 @@
 }
 
 async fn starts(site: &Site) -> Value {
-    let url = format!("http://{}/starts", site.plan.endpoint(0));
+    let url = format!("http://{}/starts", site.plan.endpoint_address(0));
     let sent = site.client.send(Method::GET, url, &[], String::new()).await;
     sent.expect("an answer comes").body["starts"].clone()
 }
--- a/crates/bench/tests/golden_session/mod.rs
+++ b/crates/bench/tests/golden_session/mod.rs
@@ -148,7 +148,10 @@
     }
 
     async fn starts(&self, endpoint: u16) -> usize {
-        let url = format!("http://{}/starts", self.site.plan.endpoint(endpoint));
+        let url = format!(
+            "http://{}/starts",
+            self.site.plan.endpoint_address(endpoint)
+        );
         let sent = self.site.client.send(Method::GET, url, &[], String::new());
         let page = sent.await.expect("an answer comes").body;
         page["starts"].as_array().map_or(0, Vec::len)
