--- a/crates/bench/src/scenario/hostile.rs
+++ b/crates/bench/src/scenario/hostile.rs
@@ -87,7 +87,7 @@
         Ok(match step.port {
             Port::Callers => plan.callers_address(entry),
             Port::Operators => plan.entry_operators_address(entry),
-            Port::Inner | Port::Agent => plan.inner(entry),
+            Port::Inner | Port::Agent => plan.links_address(entry),
         })
     }
 }
--- a/crates/bench/src/site/launch.rs
+++ b/crates/bench/src/site/launch.rs
@@ -195,7 +195,7 @@
     let mut relays = Vec::new();
     if plan.relayed {
         for entry in 0..plan.entries {
-            let relay = Relay::open(plan.announced_inner(entry), plan.inner(entry)).await?;
+            let relay = Relay::open(plan.announced_inner(entry), plan.links_address(entry)).await?;
             relays.push(relay);
         }
     }
@@ -249,7 +249,7 @@
         zone = plan.zone(number),
         callers = plan.callers_address(number),
         operators = plan.entry_operators_address(number),
-        inner = plan.inner(number),
+        inner = plan.links_address(number),
         announced = plan.announced_inner(number),
         table = plan.table_address(),
         folder = folder.display(),
--- a/crates/bench/src/site/site_plan.rs
+++ b/crates/bench/src/site/site_plan.rs
@@ -73,7 +73,7 @@
 
     /// Returns the address on which an entry listens for links.
     #[must_use]
-    pub fn inner(&self, entry: u16) -> SocketAddr {
+    pub fn links_address(&self, entry: u16) -> SocketAddr {
         self.address(FIRST_ENTRY_PORT + entry * PORTS_PER_PROCESS + 2)
     }
 
@@ -84,7 +84,7 @@
         if self.relayed {
             self.address(FIRST_ENTRY_PORT + entry * PORTS_PER_PROCESS + 3)
         } else {
-            self.inner(entry)
+            self.links_address(entry)
         }
     }
 
--- a/crates/bench/tests/tls.rs
+++ b/crates/bench/tests/tls.rs
@@ -46,7 +46,7 @@
             "name: entry-0\nzone: a\ncallers: {callers}\noperators: {operators}\n\
              inner: {}\ntable: {}\nsite_token_file: {at}/token\noperator_token_file: {at}/token\n\
              callers_tls:\n  {tls}\noperators_tls:\n  {tls}\n",
-            plan.inner(0),
+            plan.links_address(0),
             plan.table_address(),
         );
         write(&folder, "entry-0.yaml", &settings);
