--- a/crates/bench/src/site/launch.rs
+++ b/crates/bench/src/site/launch.rs
@@ -195,7 +195,11 @@
     let mut relays = Vec::new();
     if plan.relayed {
         for entry in 0..plan.entries {
-            let relay = Relay::open(plan.announced_inner(entry), plan.links_address(entry)).await?;
+            let relay = Relay::open(
+                plan.announced_links_address(entry),
+                plan.links_address(entry),
+            )
+            .await?;
             relays.push(relay);
         }
     }
@@ -250,7 +254,7 @@
         callers = plan.callers_address(number),
         operators = plan.entry_operators_address(number),
         inner = plan.links_address(number),
-        announced = plan.announced_inner(number),
+        announced = plan.announced_links_address(number),
         table = plan.table_address(),
         folder = folder.display(),
         policy = plan.policy,
@@ -262,7 +266,7 @@
 fn start_agent(plan: &SitePlan, folder: &Path, number: u16) -> Result<SiteProcess, SiteError> {
     let name = format!("agent-{number}");
     let entries: Vec<String> = (0..plan.entries)
-        .map(|entry| format!("\"{}\"", plan.announced_inner(entry)))
+        .map(|entry| format!("\"{}\"", plan.announced_links_address(entry)))
         .collect();
     let text = format!(
         "endpoint: endpoint-{number}\nzone: {zone}\nendpoint_address: {endpoint}\n\
--- a/crates/bench/src/site/site_plan.rs
+++ b/crates/bench/src/site/site_plan.rs
@@ -80,7 +80,7 @@
     /// Returns the address at which agents and other entries reach an entry: the
     /// relay's if the site is relayed, else the entry's own.
     #[must_use]
-    pub fn announced_inner(&self, entry: u16) -> SocketAddr {
+    pub fn announced_links_address(&self, entry: u16) -> SocketAddr {
         if self.relayed {
             self.address(FIRST_ENTRY_PORT + entry * PORTS_PER_PROCESS + 3)
         } else {
