--- a/crates/bench/src/demo/endpoint_alone.rs
+++ b/crates/bench/src/demo/endpoint_alone.rs
@@ -24,7 +24,7 @@
         let body = request(index)?;
         let begin = Instant::now();
         site.client
-            .operate(Method::POST, site.plan.endpoint_address(0), "/run", body)
+            .send_as_operator(Method::POST, site.plan.endpoint_address(0), "/run", body)
             .await?;
         let run_time = Duration::from_millis(RUN_MILLISECONDS);
         beyond.push(begin.elapsed().saturating_sub(run_time));
--- a/crates/bench/src/demo/messages.rs
+++ b/crates/bench/src/demo/messages.rs
@@ -38,7 +38,7 @@
         for operators in entries.chain(agents) {
             let page = site
                 .client
-                .operate(Method::GET, operators, "/metrics", String::new())
+                .send_as_operator(Method::GET, operators, "/metrics", String::new())
                 .await?;
             let text = page.body.as_str().unwrap_or_default();
             text.lines().for_each(|line| sum.add_line(line));
--- a/crates/bench/src/demo/run_demo.rs
+++ b/crates/bench/src/demo/run_demo.rs
@@ -121,7 +121,7 @@
     let address = site.plan.endpoint_address(number);
     let reply = site
         .client
-        .operate(Method::GET, address, "/starts", String::new())
+        .send_as_operator(Method::GET, address, "/starts", String::new())
         .await?;
     serde_json::from_value(reply.body)
         .map_err(|e| SiteError::Answer("/starts".to_owned(), reply.status, e.to_string()))
--- a/crates/bench/src/experiment/site_messages.rs
+++ b/crates/bench/src/experiment/site_messages.rs
@@ -16,7 +16,7 @@
         let operators = site.plan.entry_operators_address(number);
         let asked = site
             .client
-            .operate(Method::GET, operators, "/metrics", String::new())
+            .send_as_operator(Method::GET, operators, "/metrics", String::new())
             .await;
         let Ok(reply) = asked else {
             continue;
--- a/crates/bench/src/scenario/operators.rs
+++ b/crates/bench/src/scenario/operators.rs
@@ -202,7 +202,7 @@
     let operators = site.plan.entry_operators_address(entry);
     let reply = site
         .client
-        .operate(Method::GET, operators, path, String::new())
+        .send_as_operator(Method::GET, operators, path, String::new())
         .await;
     reply.map_or(Value::Null, |reply| reply.body)
 }
--- a/crates/bench/src/site/client.rs
+++ b/crates/bench/src/site/client.rs
@@ -162,7 +162,7 @@
     ///
     /// # Errors
     /// Returns an error if no answer comes.
-    pub async fn operate(
+    pub async fn send_as_operator(
         &self,
         method: Method,
         operators: SocketAddr,
@@ -190,7 +190,9 @@
         let path = format!("/v1/contracts/{}", contract.id);
         let body = serde_json::to_string(contract)
             .map_err(|e| SiteError::NoAnswer(path.clone(), e.to_string()))?;
-        let reply = self.operate(Method::PUT, operators, &path, body).await?;
+        let reply = self
+            .send_as_operator(Method::PUT, operators, &path, body)
+            .await?;
         if reply.status == 200 {
             Ok(())
         } else {
--- a/crates/bench/src/site/launch.rs
+++ b/crates/bench/src/site/launch.rs
@@ -145,9 +145,9 @@
     /// Returns the status of an entry, or null if it does not answer.
     pub async fn status(&self, entry: u16) -> serde_json::Value {
         let operators = self.plan.entry_operators_address(entry);
-        let reply = self
-            .client
-            .operate(Method::GET, operators, "/v1/status", String::new());
+        let reply =
+            self.client
+                .send_as_operator(Method::GET, operators, "/v1/status", String::new());
         match timeout(STATUS_WITHIN, reply).await {
             Ok(Ok(reply)) => reply.body,
             _ => serde_json::Value::Null,
@@ -169,7 +169,7 @@
         let operators = self.plan.entry_operators_address(entry);
         let reply = self
             .client
-            .operate(Method::GET, operators, "/v1/contracts", String::new())
+            .send_as_operator(Method::GET, operators, "/v1/contracts", String::new())
             .await;
         reply.is_ok_and(|reply| !reply.body["contracts"][id].is_null())
     }
--- a/crates/bench/tests/golden_session/mod.rs
+++ b/crates/bench/tests/golden_session/mod.rs
@@ -112,10 +112,10 @@
         for entry in 0..self.site.plan.entries() {
             loop {
                 let operators = self.site.plan.entry_operators_address(entry);
-                let asked = self
-                    .site
-                    .client
-                    .operate(Method::GET, operators, path, String::new());
+                let asked =
+                    self.site
+                        .client
+                        .send_as_operator(Method::GET, operators, path, String::new());
                 let page = asked.await.expect("an answer comes").body;
                 if page.pointer(pointer) == Some(value) {
                     break;
--- a/crates/bench/tests/observation.rs
+++ b/crates/bench/tests/observation.rs
@@ -24,7 +24,7 @@
 async fn metrics(site: &Site, operators: SocketAddr) -> String {
     let asked = site
         .client
-        .operate(Method::GET, operators, "/metrics", String::new())
+        .send_as_operator(Method::GET, operators, "/metrics", String::new())
         .await;
     let reply = asked.expect("metrics are shown");
     reply.body.as_str().unwrap_or_default().to_owned()
