--- a/crates/bench/src/site/relay.rs
+++ b/crates/bench/src/site/relay.rs
@@ -37,7 +37,7 @@
     /// Bytes of the connections up to this number are dropped both ways.
     silent_up_to: Rc<Cell<ConnectionNumber>>,
     /// Bytes back to the peer of the connections up to this number are dropped.
-    silent_back_up_to: Rc<Cell<ConnectionNumber>>,
+    silent_replies_up_to: Rc<Cell<ConnectionNumber>>,
     delay: Rc<Cell<Duration>>,
     /// The connections up to this number are cut.
     cut_up_to: watch::Receiver<ConnectionNumber>,
@@ -56,7 +56,7 @@
         let faults = Faults {
             newest: Rc::default(),
             silent_up_to: Rc::default(),
-            silent_back_up_to: Rc::default(),
+            silent_replies_up_to: Rc::default(),
             delay: Rc::default(),
             cut_up_to: receiver,
         };
@@ -78,8 +78,10 @@
 
     /// Drops the bytes back to the peer that connected, of every connection
     /// that is open now.
-    pub fn silence_back(&self) {
-        self.faults.silent_back_up_to.set(self.faults.newest.get());
+    pub fn silence_replies(&self) {
+        self.faults
+            .silent_replies_up_to
+            .set(self.faults.newest.get());
     }
 
     /// Delays each read of every connection by `delay` from now on.
@@ -128,7 +130,7 @@
     let (from_target, to_target) = onward.into_split();
     let mut cut_up_to = faults.cut_up_to.clone();
     let forward = [&*faults.silent_up_to];
-    let back = [&*faults.silent_up_to, &*faults.silent_back_up_to];
+    let back = [&*faults.silent_up_to, &*faults.silent_replies_up_to];
     tokio::select! {
         () = copy_bytes(from_peer, to_target, number, &forward, &faults.delay) => {}
         () = copy_bytes(from_target, to_peer, number, &back, &faults.delay) => {}
