--- a/crates/bench/src/demo/run_demo.rs
+++ b/crates/bench/src/demo/run_demo.rs
@@ -124,7 +124,7 @@
         .send_as_operator(Method::GET, address, "/starts", String::new())
         .await?;
     serde_json::from_value(reply.body)
-        .map_err(|e| SiteError::Answer("/starts".to_owned(), reply.status, e.to_string()))
+        .map_err(|e| SiteError::UnexpectedAnswer("/starts".to_owned(), reply.status, e.to_string()))
 }
 
 fn show_addresses(site: &Site, profile: &SiteProfile) -> io::Result<()> {
--- a/crates/bench/src/site/client.rs
+++ b/crates/bench/src/site/client.rs
@@ -196,7 +196,7 @@
         if reply.status == 200 {
             Ok(())
         } else {
-            Err(SiteError::Answer(
+            Err(SiteError::UnexpectedAnswer(
                 path,
                 reply.status,
                 reply.body.to_string(),
--- a/crates/bench/src/site/errors.rs
+++ b/crates/bench/src/site/errors.rs
@@ -16,5 +16,5 @@
     NoAnswer(String, String),
     /// A request to a path got an unexpected status or body.
     #[error("{0} answered with status {1}: {2}")]
-    Answer(String, u16, String),
+    UnexpectedAnswer(String, u16, String),
 }
