--- a/crates/bench/src/scenario/run_scenario.rs
+++ b/crates/bench/src/scenario/run_scenario.rs
@@ -22,7 +22,7 @@
     /// Text of the run, without times and ports, to compare with a golden file.
     pub session: Session,
     /// Measured times and memory, and the folder of the logs of a failed run.
-    pub figures: Vec<String>,
+    pub measurements: Vec<String>,
     /// Why the run failed, if it did.
     pub ended: Result<(), ScenarioError>,
 }
@@ -56,7 +56,7 @@
     }
     Ok(ScenarioRun {
         session,
-        figures: measurements,
+        measurements,
         ended,
     })
 }
--- a/crates/bench/tests/scenarios.rs
+++ b/crates/bench/tests/scenarios.rs
@@ -65,8 +65,8 @@
     let scenario = Scenario::parse(&text).expect("the file is a scenario");
     let _leave = Leave::take();
     let run = block_on(run_scenario(scenario, variant)).expect("the site comes up");
-    for figure in &run.figures {
-        println!("{name}: {figure}");
+    for measurement in &run.measurements {
+        println!("{name}: {measurement}");
     }
     if let Err(error) = run.ended {
         panic!("{name}, variant {variant}: {error}\n{}", run.session);
