--- a/crates/bench/src/scenario/run_scenario.rs
+++ b/crates/bench/src/scenario/run_scenario.rs
@@ -24,7 +24,7 @@
     /// Measured times and memory, and the folder of the logs of a failed run.
     pub measurements: Vec<String>,
     /// Why the run failed, if it did.
-    pub ended: Result<(), ScenarioError>,
+    pub result: Result<(), ScenarioError>,
 }
 
 /// Runs a scenario on a site of its own.
@@ -41,7 +41,7 @@
     }
     let mut runner = wait_until_complete(site).await?;
     runner.write_line(format!("# {}", scenario.about));
-    let ended = run_steps(&mut runner, &scenario, variant).await;
+    let result = run_steps(&mut runner, &scenario, variant).await;
     let Runner {
         site,
         session,
@@ -49,7 +49,7 @@
         ..
     } = runner;
     // The logs of a failed run are kept.
-    if ended.is_ok() {
+    if result.is_ok() {
         site.close();
     } else {
         measurements.push(format!("logs in {}", site.folder().display()));
@@ -57,7 +57,7 @@
     Ok(ScenarioRun {
         session,
         measurements,
-        ended,
+        result,
     })
 }
 
--- a/crates/bench/tests/scenarios.rs
+++ b/crates/bench/tests/scenarios.rs
@@ -68,7 +68,7 @@
     for measurement in &run.measurements {
         println!("{name}: {measurement}");
     }
-    if let Err(error) = run.ended {
+    if let Err(error) = run.result {
         panic!("{name}, variant {variant}: {error}\n{}", run.session);
     }
     compare(&path.with_extension("golden"), &run.session.to_string());
