--- a/crates/bench/src/scenario/mod.rs
+++ b/crates/bench/src/scenario/mod.rs
@@ -9,9 +9,9 @@
 mod run_scenario;
 mod runner;
 mod scenario_file;
-mod session;
 mod step;
 mod submission;
+mod transcript;
 mod verify;
 mod waits;
 
@@ -19,10 +19,10 @@
     errors::ScenarioError,
     run_scenario::{ScenarioRun, run_scenario},
     scenario_file::{ClosingChecks, ContractPlan, Scenario, SiteSize},
-    session::Session,
     step::{
         AskStep, EndpointStep, ExpectStep, HostileInput, HostileStep, InForceStep, OperateStep,
         Port, RaceStep, RelinkedStep, ServingStep, StartedStep, Step, SubmitStep,
     },
     submission::{CallKind, CallResult, Submission},
+    transcript::Transcript,
 };
--- a/crates/bench/src/scenario/run_scenario.rs
+++ b/crates/bench/src/scenario/run_scenario.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        scenario::{ClosingChecks, Scenario, ScenarioError, Session, SiteSize, runner::Runner},
+        scenario::{ClosingChecks, Scenario, ScenarioError, SiteSize, Transcript, runner::Runner},
         site::{Site, SitePlan},
     },
     rand::{RngExt, SeedableRng, rngs::StdRng},
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct ScenarioRun {
     /// Text of the run, without times and ports, to compare with a golden file.
-    pub session: Session,
+    pub transcript: Transcript,
     /// Measured times and memory, and the folder of the logs of a failed run.
     pub measurements: Vec<String>,
     /// Why the run failed, if it did.
@@ -44,7 +44,7 @@
     let result = run_steps(&mut runner, &scenario, variant).await;
     let Runner {
         site,
-        session,
+        transcript,
         mut measurements,
         ..
     } = runner;
@@ -55,7 +55,7 @@
         measurements.push(format!("logs in {}", site.folder().display()));
     }
     Ok(ScenarioRun {
-        session,
+        transcript,
         measurements,
         result,
     })
--- a/crates/bench/src/scenario/runner.rs
+++ b/crates/bench/src/scenario/runner.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        scenario::{CallKind, CallResult, ScenarioError, Session, Step, Submission},
+        scenario::{CallKind, CallResult, ScenarioError, Step, Submission, Transcript},
         site::{Relay, Site, SiteProcess},
     },
     indexmap::IndexMap,
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(super) struct Runner {
     pub(super) site: Site,
-    pub(super) session: Session,
+    pub(super) transcript: Transcript,
     pub(super) results: Vec<CallResult>,
     pub(super) drains: Vec<DrainChange>,
     pub(super) measurements: Vec<String>,
@@ -45,7 +45,7 @@
         let entries_by_role = [owner].into_iter().chain(others).collect();
         Ok(Self {
             site,
-            session: Session::default(),
+            transcript: Transcript::default(),
             results: Vec::new(),
             drains: Vec::new(),
             measurements: Vec::new(),
@@ -87,7 +87,7 @@
 
     /// Adds a line to the text that is compared with the golden file.
     pub(super) fn write_line(&mut self, text: impl Into<String>) {
-        self.session.push_line(text);
+        self.transcript.push_line(text);
     }
 
     /// Records the time since `since` as a measurement, outside the golden text.
--- a/crates/bench/tests/scenarios.rs
+++ b/crates/bench/tests/scenarios.rs
@@ -69,9 +69,9 @@
         println!("{name}: {measurement}");
     }
     if let Err(error) = run.result {
-        panic!("{name}, variant {variant}: {error}\n{}", run.session);
+        panic!("{name}, variant {variant}: {error}\n{}", run.transcript);
     }
-    compare(&path.with_extension("golden"), &run.session.to_string());
+    compare(&path.with_extension("golden"), &run.transcript.to_string());
 }
 
 fn compare(golden: &Path, session: &str) {
