--- a/crates/bench/src/demo/messages.rs
+++ b/crates/bench/src/demo/messages.rs
@@ -33,12 +33,12 @@
     pub(crate) async fn read(site: &Site) -> Result<Self, SiteError> {
         let mut sum = Self::default();
         let plan = &site.plan;
-        let entries = (0..plan.entries()).map(|number| plan.entry_operators(number));
-        let agents = (0..plan.endpoints()).map(|number| plan.agent_operators(number));
+        let entries = (0..plan.entries()).map(|number| plan.entry_operators_address(number));
+        let agents = (0..plan.endpoints()).map(|number| plan.agent_operators_address(number));
         for operators in entries.chain(agents) {
             let page = site
                 .client
-                .operate(Method::GET, operators, "/metrics", String::new())
+                .send_as_operator(Method::GET, operators, "/metrics", String::new())
                 .await?;
             let text = page.body.as_str().unwrap_or_default();
             text.lines().for_each(|line| sum.add_line(line));
--- a/crates/bench/src/demo/run_demo.rs
+++ b/crates/bench/src/demo/run_demo.rs
@@ -118,25 +118,25 @@
 }
 
 async fn start_log(site: &Site, number: u16) -> Result<StartLog, SiteError> {
-    let address = site.plan.endpoint(number);
+    let address = site.plan.endpoint_address(number);
     let reply = site
         .client
-        .operate(Method::GET, address, "/starts", String::new())
+        .send_as_operator(Method::GET, address, "/starts", String::new())
         .await?;
     serde_json::from_value(reply.body)
-        .map_err(|e| SiteError::Answer("/starts".to_owned(), reply.status, e.to_string()))
+        .map_err(|e| SiteError::UnexpectedAnswer("/starts".to_owned(), reply.status, e.to_string()))
 }
 
 fn show_addresses(site: &Site, profile: &SiteProfile) -> io::Result<()> {
     let settings = write_cli_settings(site, profile)?;
     println!("The site stays up until Ctrl-C.");
     for number in 0..site.plan.entries() {
-        let callers = site.plan.callers(number);
-        let operators = site.plan.entry_operators(number);
+        let callers = site.plan.callers_address(number);
+        let operators = site.plan.entry_operators_address(number);
         println!("entry-{number}: callers http://{callers}, operators http://{operators}");
     }
     for number in 0..site.plan.endpoints() {
-        let operators = site.plan.agent_operators(number);
+        let operators = site.plan.agent_operators_address(number);
         println!("agent-{number}: operators http://{operators}");
     }
     println!("tokens: {}/*.token", site.folder().display());
--- a/crates/bench/src/experiment/real_run.rs
+++ b/crates/bench/src/experiment/real_run.rs
@@ -89,7 +89,7 @@
             "deadline_in": format!("{}ms", contract.deadline_in.as_millis()),
         });
         let entry = u16::try_from(number % usize::from(self.conf.site.entries));
-        let callers = site.plan.callers(entry.unwrap_or_default());
+        let callers = site.plan.callers_address(entry.unwrap_or_default());
         let key = format!("job-{number}");
         let began = Instant::now();
         let reply = site
@@ -194,7 +194,7 @@
 
 async fn set_faults(site: &Site, numbers: std::ops::Range<u16>, fault: EndpointFault) {
     for number in numbers {
-        let url = format!("http://{}/fault", site.plan.endpoint(number));
+        let url = format!("http://{}/fault", site.plan.endpoint_address(number));
         let body = json!(fault).to_string();
         let headers = [("content-type", "application/json")];
         // An endpoint that is gone cannot be told.
--- a/crates/bench/tests/observation.rs
+++ b/crates/bench/tests/observation.rs
@@ -24,7 +24,7 @@
 async fn metrics(site: &Site, operators: SocketAddr) -> String {
     let asked = site
         .client
-        .operate(Method::GET, operators, "/metrics", String::new())
+        .send_as_operator(Method::GET, operators, "/metrics", String::new())
         .await;
     let reply = asked.expect("metrics are shown");
     reply.body.as_str().unwrap_or_default().to_owned()
@@ -45,12 +45,12 @@
         let body = json!({"tasks": [
             {"kind": "honorific", "declared_run_time": "1ms", "input": "{\"run_ms\":1}"},
         ]});
-        let callers = site.plan.callers(1);
+        let callers = site.plan.callers_address(1);
         let reply = site.client.submit(callers, "letters", "k1", &body).await;
         assert_eq!(reply.expect("an answer comes").status, 200);
         let mut owner = String::new();
         for number in 0..site.plan.entries() {
-            let page = metrics(&site, site.plan.entry_operators(number)).await;
+            let page = metrics(&site, site.plan.entry_operators_address(number)).await;
             if page.contains("chestnutrun_ownership_epoch{shard=\"0\"} 1") {
                 owner = page;
             }
@@ -69,7 +69,7 @@
                 "chestnutrun_table_requests_total{operation=\"write\",outcome=\"done\"}",
             ],
         );
-        let asked = metrics(&site, site.plan.entry_operators(1)).await;
+        let asked = metrics(&site, site.plan.entry_operators_address(1)).await;
         assert_shows(
             &asked,
             &[
@@ -79,7 +79,7 @@
         );
         let mut agents = String::new();
         for number in 0..site.plan.endpoints() {
-            agents += &metrics(&site, site.plan.agent_operators(number)).await;
+            agents += &metrics(&site, site.plan.agent_operators_address(number)).await;
         }
         assert_shows(
             &agents,
--- a/crates/bench/tests/operators_http.rs
+++ b/crates/bench/tests/operators_http.rs
@@ -32,7 +32,7 @@
     headers: &[(&str, &str)],
     body: String,
 ) -> HttpReply {
-    let url = format!("http://{}{path}", site.plan.entry_operators(entry));
+    let url = format!("http://{}{path}", site.plan.entry_operators_address(entry));
     let headers = [&[AUTH], headers].concat();
     let sent = site.client.send(method.clone(), url, &headers, body).await;
     let reply = sent.expect("an answer comes");
@@ -58,7 +58,7 @@
 }
 
 async fn fault(site: &Site, fault: Value) {
-    let url = format!("http://{}/fault", site.plan.table());
+    let url = format!("http://{}/fault", site.plan.table_address());
     let headers = [("content-type", "application/json")];
     let sent = site
         .client
@@ -224,7 +224,7 @@
 ) {
     block_on(async move {
         let site = site(1).await;
-        let url = format!("http://{}{path}", site.plan.entry_operators(0));
+        let url = format!("http://{}{path}", site.plan.entry_operators_address(0));
         let headers = [("if-match", if_match), AUTH];
         let headers = if if_match.is_empty() {
             &headers[..0]
@@ -256,7 +256,7 @@
         contract.token_hash = contract.token_hash.to_ascii_uppercase();
         site.create_contract(&contract).await.expect("in force");
         let job = json!({"tasks": [{"kind": "stamp", "declared_run_time": "1ms"}]});
-        let callers = site.plan.callers(0);
+        let callers = site.plan.callers_address(0);
         let reply = site.client.submit(callers, "letters", "k1", &job).await;
         let reply = reply.expect("an answer comes");
         assert_eq!(reply.status, 200, "{}", reply.body);
--- a/crates/bench/tests/tls.rs
+++ b/crates/bench/tests/tls.rs
@@ -30,8 +30,8 @@
 impl TlsEntry {
     fn start() -> Self {
         let plan = SitePlan::builder().build();
-        let callers = plan.callers(0);
-        let operators = plan.entry_operators(0);
+        let callers = plan.callers_address(0);
+        let operators = plan.entry_operators_address(0);
         let folder = std::env::temp_dir().join(format!("chestnutrun-tls-{}", callers.ip()));
         fs::create_dir_all(&folder).expect("a folder can be made");
         let names = [callers.ip().to_string()];
@@ -46,8 +46,8 @@
             "name: entry-0\nzone: a\ncallers: {callers}\noperators: {operators}\n\
              inner: {}\ntable: {}\nsite_token_file: {at}/token\noperator_token_file: {at}/token\n\
              callers_tls:\n  {tls}\noperators_tls:\n  {tls}\n",
-            plan.inner(0),
-            plan.table(),
+            plan.links_address(0),
+            plan.table_address(),
         );
         write(&folder, "entry-0.yaml", &settings);
         let arguments = ["--conf".to_owned(), format!("{at}/entry-0.yaml")];
