--- a/crates/bench/src/experiment/arrivals.rs
+++ b/crates/bench/src/experiment/arrivals.rs
@@ -1,4 +1,4 @@
-//! What arrives when, drawn from a seed.
+//! Generates the arrivals of jobs from a seed.
 
 use {
     crate::experiment::{BurstConf, ContractConf, ExperimentConf, MixConf, Variant},
@@ -6,43 +6,46 @@
     std::time::Duration,
 };
 
-/// One task of a job that arrives.
+/// A task of an arriving job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ArrivingTask {
-    /// Position of its part in the contract's mix.
+    /// Index into the mix of the contract.
     pub part: usize,
-    /// How long it really runs.
+    /// Time for which the task occupies a slot.
     pub run_time: Duration,
-    /// How long it is declared to run.
+    /// Run time that the caller declares; may differ from `run_time`.
     pub declared: Duration,
 }
 
-/// One job that arrives.
+/// An arriving job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Time from the beginning.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// Position of the contract.
+    /// Index of the contract in the experiment.
     pub contract: usize,
-    /// Whether a burst added it.
+    /// Whether the job arrives only because of a burst.
     pub is_burst: bool,
-    /// Its tasks.
+    /// Tasks of the job, in order.
     pub tasks: Vec<ArrivingTask>,
 }
 
-/// Draws every arrival of a run, in order.
+/// Generates all arrivals of a run in the order of their times.
+///
+/// Each contract has its own random generator, so its arrivals do not depend on
+/// the other contracts.
 #[must_use]
 pub fn arrivals(conf: &ExperimentConf, seed: u64) -> Vec<Arrival> {
     let mut all = Vec::new();
     for (number, contract) in conf.contracts.iter().enumerate() {
         let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(1_000) + number as u64);
-        all.extend(of_contract(conf, number, contract, &mut rng));
+        all.extend(contract_arrivals(conf, number, contract, &mut rng));
     }
     all.sort_by_key(|arrival| arrival.at);
     all
 }
 
-/// Returns the arrivals that a variant of the run has.
+/// Returns the arrivals that belong to `variant`.
 #[must_use]
 pub fn select(conf: &ExperimentConf, all: &[Arrival], variant: &Variant) -> Vec<Arrival> {
     let mut selected = all.to_vec();
@@ -60,40 +63,42 @@
     selected
 }
 
-fn of_contract(
+fn contract_arrivals(
     conf: &ExperimentConf,
     number: usize,
     contract: &ContractConf,
     rng: &mut StdRng,
 ) -> Vec<Arrival> {
     let mut arrivals = Vec::new();
-    let base = jobs_a_second(conf, contract);
-    let peak = contract.bursts.iter().map(|burst| burst.factor);
-    let peak = peak.fold(1.0, f64::max);
+    let base_rate = base_job_rate(conf, contract);
+    let peak_factor = contract.bursts.iter().map(|burst| burst.factor);
+    let peak_factor = peak_factor.fold(1.0, f64::max);
     let mut at = Duration::ZERO;
     loop {
-        // Thinning: draw at the highest rate, keep in proportion to the rate.
+        // Thinning: draw candidates at the highest rate and keep each with a
+        // probability in proportion to the current rate.
         let uniform: f64 = rng.random();
-        at += Duration::from_secs_f64(-(1.0 - uniform).ln() / (base * peak));
+        at += Duration::from_secs_f64(-(1.0 - uniform).ln() / (base_rate * peak_factor));
         if at >= conf.length {
             return arrivals;
         }
-        let kept: f64 = rng.random::<f64>() * peak;
+        let level: f64 = rng.random::<f64>() * peak_factor;
         let tasks = (0..contract.tasks_per_job)
             .map(|_| draw_task(contract, rng))
             .collect();
-        if kept < demand(contract, at) {
+        if level < demand_factor(contract, at) {
             arrivals.push(Arrival {
                 at,
                 contract: number,
-                is_burst: kept >= 1.0,
+                is_burst: level >= 1.0,
                 tasks,
             });
         }
     }
 }
 
-fn jobs_a_second(conf: &ExperimentConf, contract: &ContractConf) -> f64 {
+/// Returns the jobs per second that give the contract's load without bursts.
+fn base_job_rate(conf: &ExperimentConf, contract: &ContractConf) -> f64 {
     let parts: f64 = contract.mix.iter().map(|part| part.part).sum();
     let work: f64 = contract
         .mix
@@ -104,34 +109,35 @@
     slots / (work * f64::from(contract.tasks_per_job))
 }
 
-fn demand(contract: &ContractConf, at: Duration) -> f64 {
-    let of_burst = |burst: &BurstConf| {
-        let since = at.checked_sub(burst.at)?;
-        let risen = since.as_secs_f64() / burst.rise.as_secs_f64().max(f64::EPSILON);
+/// Returns the demand at time `at` as a multiple of the base rate.
+fn demand_factor(contract: &ContractConf, at: Duration) -> f64 {
+    let burst_factor = |burst: &BurstConf| {
+        let elapsed = at.checked_sub(burst.at)?;
+        let risen = elapsed.as_secs_f64() / burst.rise.as_secs_f64().max(f64::EPSILON);
         let factor = 1.0 + (burst.factor - 1.0) * risen.min(1.0);
-        (since < burst.length).then_some(factor)
+        (elapsed < burst.length).then_some(factor)
     };
     contract
         .bursts
         .iter()
-        .filter_map(of_burst)
+        .filter_map(burst_factor)
         .fold(1.0, f64::max)
 }
 
 fn draw_task(contract: &ContractConf, rng: &mut StdRng) -> ArrivingTask {
     let parts: f64 = contract.mix.iter().map(|part| part.part).sum();
-    let mut left = rng.random::<f64>() * parts;
+    let mut remaining = rng.random::<f64>() * parts;
     let mut chosen = 0;
     for (number, part) in contract.mix.iter().enumerate() {
         chosen = number;
-        left -= part.part;
-        if left < 0.0 {
+        remaining -= part.part;
+        if remaining < 0.0 {
             break;
         }
     }
     let run_time = draw_run_time(&contract.mix[chosen], rng);
-    let wrong = contract.declared_wrong_by.max(1.0).ln();
-    let factor = ((rng.random::<f64>() * 2.0 - 1.0) * wrong).exp();
+    let max_log_error = contract.declared_wrong_by.max(1.0).ln();
+    let factor = ((rng.random::<f64>() * 2.0 - 1.0) * max_log_error).exp();
     ArrivingTask {
         part: chosen,
         run_time,
@@ -140,6 +146,6 @@
 }
 
 fn draw_run_time(part: &MixConf, rng: &mut StdRng) -> Duration {
-    let between = part.longest.saturating_sub(part.shortest);
-    part.shortest + between.mul_f64(rng.random())
+    let range = part.longest.saturating_sub(part.shortest);
+    part.shortest + range.mul_f64(rng.random())
 }
--- a/crates/bench/src/experiment/contestant.rs
+++ b/crates/bench/src/experiment/contestant.rs
@@ -1,4 +1,4 @@
-//! Policies that an experiment compares.
+//! The placement policies that an experiment can compare.
 
 use {
     crate::experiment::Ideal,
@@ -10,26 +10,26 @@
     std::fmt,
 };
 
-/// A policy that an experiment compares.
+/// A placement policy that an experiment can compare.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Contestant {
     /// First come, first served.
     FirstCome,
-    /// The shortest of all waiting tasks first, with true run times.
+    /// Shortest of all waiting tasks first, with the true run times known.
     Ideal,
-    /// A queue at each endpoint, chosen at random.
+    /// A queue at each endpoint; each task goes to a random endpoint.
     RandomEndpoint,
-    /// A queue at each endpoint, chosen in turn.
+    /// A queue at each endpoint; tasks go to the endpoints in turn.
     RoundRobin,
-    /// Short tasks before long ones, contracts by their shares.
+    /// Short tasks before long ones, with shares between contracts.
     SizeAware,
-    /// A fixed part of the slots for each contract.
+    /// A fixed share of the slots for each contract.
     StaticShares,
 }
 
 impl Contestant {
-    /// Makes the policy.
+    /// Creates the policy; `seed` is used only where it chooses at random.
     #[must_use]
     pub fn policy(self, seed: u64) -> Box<dyn Policy> {
         match self {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns its name, as an entry's settings have it.
+    /// Returns the name of the policy in the settings of an entry.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
--- a/crates/bench/src/experiment/decisions_run.rs
+++ b/crates/bench/src/experiment/decisions_run.rs
@@ -1,10 +1,10 @@
-//! Drives the decisions alone, on a handed-in clock.
+//! Runs an experiment on the decision code alone, with a simulated clock.
 //!
-//! Neither a network nor processes are modelled: messages arrive at once.
+//! There is no network and no other process: messages arrive immediately.
 
 use {
     crate::experiment::{
-        Arrival, Contestant, ExperimentConf, FakeSlots, FaultKind, Held, Measures,
+        Arrival, Contestant, ExperimentConf, FakeSlots, FaultKind, Measures, RunningTask,
     },
     chestnutrun_decisions::owner::{
         AgentOrder, OwnerAction, OwnerConf, OwnerInput, OwnerMachine, Request, Takeover,
@@ -21,22 +21,22 @@
     },
 };
 
-/// How often the machine is told that time passed.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval between ticks of the owner machine.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest time after the last arrival until a run is cut off.
-const DRAIN: Duration = Duration::from_mins(2);
+/// Longest time after the end of the arrivals that a run waits for open tasks.
+const DRAIN_TIMEOUT: Duration = Duration::from_mins(2);
 
-/// The only shard.
+/// The only shard of the simulated site.
 const SHARD: ShardId = 0;
 
-/// The only ownership.
-const EPOCH: Epoch = 1;
+/// Ownership epoch of the simulated owner; it never changes.
+const OWNER_EPOCH: Epoch = 1;
 
-/// Time that a task takes at an endpoint that fails everything.
-const FAILS_WITHIN: Duration = Duration::from_millis(1);
+/// Time after which a task fails at an endpoint that fails everything.
+const FAILURE_TIME: Duration = Duration::from_millis(1);
 
-/// One run of the decisions alone.
+/// One run of the decision code against simulated endpoints.
 #[derive(Debug)]
 pub struct DecisionsRun<'a> {
     conf: &'a ExperimentConf,
@@ -44,9 +44,11 @@
     contestant: Contestant,
     machine: OwnerMachine,
     slots: FakeSlots,
-    began: Now,
+    started_at: Now,
     now: Now,
+    /// Submitted tasks that have not started.
     waiting: u64,
+    /// Index and end time of each ended task of a job without an answer yet.
     ended: IndexMap<JobRef, Vec<(usize, Duration)>>,
     failing: Vec<EndpointId>,
     lost: Vec<EndpointId>,
@@ -54,7 +56,7 @@
 }
 
 impl<'a> DecisionsRun<'a> {
-    /// Sets a run up.
+    /// Creates a run of `arrivals` under the policy `contestant`.
     #[must_use]
     pub fn new(
         conf: &'a ExperimentConf,
@@ -68,7 +70,7 @@
         };
         let owner = OwnerConf {
             shard: SHARD,
-            epoch: EPOCH,
+            epoch: OWNER_EPOCH,
             me: "entry-0".into(),
         };
         let takeover = Takeover::new(now.instant, no_agents());
@@ -85,7 +87,7 @@
             contestant,
             machine,
             slots: FakeSlots::new(conf.contracts.len()),
-            began: now,
+            started_at: now,
             now,
             waiting: 0,
             ended: IndexMap::new(),
@@ -95,83 +97,84 @@
         }
     }
 
-    /// Runs to the end and returns what was measured.
+    /// Runs the experiment to its end and returns the measurements.
     #[must_use]
     pub fn run(mut self) -> Measures {
         let acknowledged = OwnerInput::OwnershipAcknowledged(Some(self.now.instant), no_agents());
-        self.input(acknowledged);
-        self.input(OwnerInput::OwnershipConfirmed(self.now.instant));
+        self.handle_input(acknowledged);
+        self.handle_input(OwnerInput::OwnershipConfirmed(self.now.instant));
         for number in 0..self.conf.site.endpoints {
-            self.link(number);
+            self.link_agent(number);
         }
         let mut next_tick = self.now.instant;
         let mut submitted = 0;
-        let mut changes = changes(self.conf);
+        let mut changes = scheduled_changes(self.conf);
         changes.reverse();
         loop {
             let arrival = self.arrivals.get(submitted);
-            let submit_at = arrival.map(|arrival| self.began.instant + arrival.at);
-            let changes_at = changes.last().map(|(at, _)| self.began.instant + *at);
-            let moments = [
+            let submit_at = arrival.map(|arrival| self.started_at.instant + arrival.at);
+            let changes_at = changes.last().map(|(at, _)| self.started_at.instant + *at);
+            let next_times = [
                 submit_at,
                 changes_at,
                 self.slots.next_end(),
                 Some(next_tick),
             ];
-            let Some(at) = moments.iter().flatten().min().copied() else {
+            let Some(at) = next_times.iter().flatten().min().copied() else {
                 break;
             };
             self.advance(at);
-            let since = at.duration_since(self.began.instant);
-            let is_drained = arrival.is_none() && self.slots.held() == 0 && self.waiting == 0;
-            if is_drained || since > self.conf.length + DRAIN {
+            let elapsed = at.duration_since(self.started_at.instant);
+            let is_drained = arrival.is_none() && self.slots.running() == 0 && self.waiting == 0;
+            if is_drained || elapsed > self.conf.length + DRAIN_TIMEOUT {
                 break;
             }
             if changes_at == Some(at) {
                 if let Some((_, change)) = changes.pop() {
-                    self.change(change);
+                    self.apply_change(change);
                 }
             } else if submit_at == Some(at) {
                 self.submit(submitted);
                 submitted += 1;
             } else if self.slots.next_end() == Some(at) {
-                self.end_next();
+                self.finish_next_task();
             } else {
-                next_tick += TICK;
-                self.input(OwnerInput::OwnershipConfirmed(self.now.instant));
-                self.input(OwnerInput::Tick);
+                next_tick += TICK_INTERVAL;
+                self.handle_input(OwnerInput::OwnershipConfirmed(self.now.instant));
+                self.handle_input(OwnerInput::Tick);
             }
         }
         self.measures
     }
 
-    /// Moves the clock and adds up busy slots.
+    /// Advances the clock to `to` and records the slot usage until then.
     fn advance(&mut self, to: std::time::Instant) {
         let by = to.saturating_duration_since(self.now.instant);
-        let since = self.now.instant.duration_since(self.began.instant);
-        if since >= self.conf.warm_up && since < self.conf.length {
-            self.add_up(since, by.as_secs_f64());
+        let elapsed = self.now.instant.duration_since(self.started_at.instant);
+        if elapsed >= self.conf.warm_up && elapsed < self.conf.length {
+            self.record_slot_use(elapsed, by.as_secs_f64());
         }
         self.now = self.now.later(by);
     }
 
-    fn add_up(&mut self, since: Duration, seconds: f64) {
+    /// Adds `seconds` of slot usage at the time `elapsed` since the start.
+    fn record_slot_use(&mut self, elapsed: Duration, seconds: f64) {
         let live = usize::from(self.conf.site.endpoints) - self.lost.len();
-        let slots = seconds * f64::from(self.conf.site.slots) * count(live);
-        let busy = seconds * count(self.slots.held());
+        let slots = seconds * f64::from(self.conf.site.slots) * as_f64(live);
+        let busy = seconds * as_f64(self.slots.running());
         self.measures.busy += busy;
         self.measures.slots += slots;
         if self.waiting > 0 {
             self.measures.busy_waiting += busy;
             self.measures.slots_waiting += slots;
         }
-        let second = usize::try_from(since.as_secs()).unwrap_or_default();
-        for (number, held) in self.slots.by_contract().iter().enumerate() {
-            self.measures.used[second][number] += seconds * count(*held);
+        let second = usize::try_from(elapsed.as_secs()).unwrap_or_default();
+        for (number, running) in self.slots.by_contract().iter().enumerate() {
+            self.measures.used[second][number] += seconds * as_f64(*running);
         }
     }
 
-    fn link(&mut self, number: u16) {
+    fn link_agent(&mut self, number: u16) {
         let hello = AgentHello {
             endpoint: endpoint(number),
             incarnation: 1,
@@ -180,16 +183,16 @@
             zone: "zone-a".into(),
             leaving: false,
         };
-        self.input(OwnerInput::AgentUp(hello));
+        self.handle_input(OwnerInput::AgentUp(hello));
     }
 
     fn submit(&mut self, number: usize) {
         let arrival = &self.arrivals[number];
         let contract = &self.conf.contracts[arrival.contract];
-        let knows_all = self.contestant == Contestant::Ideal;
+        let knows_run_times = self.contestant == Contestant::Ideal;
         let tasks = arrival.tasks.iter().map(|task| TaskSpec {
             kind: contract.mix[task.part].kind.as_str().into(),
-            declared_run_time: if knows_all {
+            declared_run_time: if knows_run_times {
                 task.run_time
             } else {
                 task.declared
@@ -215,13 +218,13 @@
         self.measures.tasks += count;
         self.waiting += count;
         self.measures.most_waiting = self.measures.most_waiting.max(self.waiting);
-        self.input(OwnerInput::Request(
+        self.handle_input(OwnerInput::Request(
             "entry-0".into(),
             Request::Submit(submit),
         ));
     }
 
-    fn input(&mut self, input: OwnerInput) {
+    fn handle_input(&mut self, input: OwnerInput) {
         for action in self.machine.handle(self.now, input) {
             match action {
                 OwnerAction::Order(endpoint, AgentOrder::Start(start)) => {
@@ -243,79 +246,82 @@
             running: Vec::new(),
             jobs: Vec::new(),
         };
-        self.input(OwnerInput::FenceReply(endpoint.clone(), reply));
-        self.input(OwnerInput::AgentLease(endpoint, Some(fence.epoch)));
+        self.handle_input(OwnerInput::FenceReply(endpoint.clone(), reply));
+        self.handle_input(OwnerInput::AgentLease(endpoint, Some(fence.epoch)));
     }
 
     fn start(&mut self, endpoint: EndpointId, start: &Start) {
         self.waiting -= 1;
-        let arrival = &self.arrivals[number_of(&start.task.key)];
+        let arrival = &self.arrivals[arrival_number(&start.task.key)];
         let task = &arrival.tasks[usize::from(start.task.index)];
         let (run_time, outcome) = if self.failing.contains(&endpoint) {
-            self.measures.eaten += 1;
+            self.measures.failed_by_broken += 1;
             let outcome = TaskOutcome::FailedWhileRunning("broken".to_owned());
-            (FAILS_WITHIN, outcome)
+            (FAILURE_TIME, outcome)
         } else {
             (task.run_time, TaskOutcome::Completed(String::new()))
         };
-        let held = Held {
+        let running = RunningTask {
             endpoint,
             contract: arrival.contract,
             task: start.task.clone(),
             digest: start.digest,
             outcome,
         };
-        self.slots.start(self.now.instant, run_time, held);
+        self.slots.start(self.now.instant, run_time, running);
     }
 
-    fn end_next(&mut self) {
-        let Some(held) = self.slots.end() else {
+    fn finish_next_task(&mut self) {
+        let Some(running) = self.slots.finish_next() else {
             return;
         };
-        let at = self.now.instant.duration_since(self.began.instant);
+        let at = self.now.instant.duration_since(self.started_at.instant);
         self.ended
-            .entry(held.task.job())
+            .entry(running.task.job())
             .or_default()
-            .push((usize::from(held.task.index), at));
+            .push((usize::from(running.task.index), at));
         let finished = Finished {
-            task: held.task,
-            digest: held.digest,
-            outcome: held.outcome,
+            task: running.task,
+            digest: running.digest,
+            outcome: running.outcome,
         };
-        self.input(OwnerInput::Finished(held.endpoint, finished));
+        self.handle_input(OwnerInput::Finished(running.endpoint, finished));
     }
 
     fn reply(&mut self, job: &JobRef, reply: Reply) {
         match reply {
-            Reply::Answered(answer) => self.answered(job, &answer),
+            Reply::Answered(answer) => self.record_answer(job, &answer),
             Reply::Refused(refusal) => {
-                let count = self.arrivals[number_of(&job.key)].tasks.len();
+                let count = self.arrivals[arrival_number(&job.key)].tasks.len();
                 self.waiting -= count as u64;
                 for _ in 0..count {
-                    self.measures.failed(format!("{:?}", refusal.reason));
+                    self.measures
+                        .record_failure(format!("{:?}", refusal.reason));
                 }
             }
             _ => {}
         }
     }
 
-    /// Each task's response is taken at its own end, so that jobs of several
-    /// tasks show each kind by itself.
-    fn answered(&mut self, job: &JobRef, answer: &JobAnswer) {
+    /// Records the outcome of each task of an answered job.
+    ///
+    /// The response time of a task ends when the task ends, not when its job is
+    /// answered, so that jobs with several tasks show each kind separately.
+    fn record_answer(&mut self, job: &JobRef, answer: &JobAnswer) {
         let ended = self.ended.swap_remove(job).unwrap_or_default();
-        let arrival = &self.arrivals[number_of(&job.key)];
-        for (index, task) in answer.tasks.iter().enumerate() {
-            let end = ended.iter().find(|(of, _)| *of == index);
-            match (&task.outcome, end) {
+        let arrival = &self.arrivals[arrival_number(&job.key)];
+        for (index, answered) in answer.tasks.iter().enumerate() {
+            let end = ended.iter().find(|(ended, _)| *ended == index);
+            match (&answered.outcome, end) {
                 (TaskOutcome::Completed(_), Some((_, at))) => {
-                    let of = &arrival.tasks[index];
-                    self.measures.completed(
+                    let task = &arrival.tasks[index];
+                    self.measures.record_completion(
                         self.conf,
                         arrival.contract,
-                        of.part,
+                        task.part,
                         arrival.at,
                         at.saturating_sub(arrival.at),
-                        of.run_time,
+                        task.run_time,
                     );
                 }
                 (outcome, end) => {
@@ -330,27 +336,27 @@
                     }
                     let name = format!("{outcome:?}");
                     let name = name.split('(').next().unwrap_or_default();
-                    self.measures.failed(name);
+                    self.measures.record_failure(name);
                 }
             }
         }
     }
 
-    fn change(&mut self, change: Change) {
+    fn apply_change(&mut self, change: Change) {
         match change {
             Change::Fails(first, count, true) => {
                 self.failing.extend((first..first + count).map(endpoint));
             }
             Change::Fails(first, count, false) => {
-                let healed: Vec<EndpointId> = (first..first + count).map(endpoint).collect();
-                self.failing.retain(|endpoint| !healed.contains(endpoint));
+                let repaired: Vec<EndpointId> = (first..first + count).map(endpoint).collect();
+                self.failing.retain(|endpoint| !repaired.contains(endpoint));
             }
             Change::Lost(first, count) => {
                 for number in first..first + count {
                     let endpoint = endpoint(number);
-                    self.slots.lose(&endpoint);
+                    self.slots.remove_endpoint(&endpoint);
                     self.lost.push(endpoint.clone());
-                    self.input(OwnerInput::AgentDown(endpoint, 1));
+                    self.handle_input(OwnerInput::AgentDown(endpoint, 1));
                 }
             }
             Change::Cancel(contract) => self.cancel(contract),
@@ -358,10 +364,10 @@
     }
 
     fn cancel(&mut self, contract: usize) {
-        let since = self.now.instant.duration_since(self.began.instant);
+        let elapsed = self.now.instant.duration_since(self.started_at.instant);
         let arrived = self.arrivals.iter().enumerate();
         let numbers: Vec<usize> = arrived
-            .filter(|(_, arrival)| arrival.contract == contract && arrival.at <= since)
+            .filter(|(_, arrival)| arrival.contract == contract && arrival.at <= elapsed)
             .map(|(number, _)| number)
             .collect();
         for number in numbers {
@@ -369,23 +375,26 @@
                 contract: self.conf.contracts[contract].name.as_str().into(),
                 key: number.to_string().into(),
             };
-            self.input(OwnerInput::Request("entry-0".into(), Request::Cancel(job)));
+            self.handle_input(OwnerInput::Request("entry-0".into(), Request::Cancel(job)));
         }
     }
 }
 
-/// Something that changes during a run.
+/// A change at a set time during a run.
 #[derive(Clone, Copy, Debug)]
 enum Change {
-    /// Endpoints begin or stop to fail everything.
+    /// Endpoints begin (`true`) or cease (`false`) to fail every task: number of
+    /// the first endpoint and how many.
     Fails(u16, u16, bool),
-    /// Endpoints are gone.
+    /// Endpoints and their agents are lost: number of the first endpoint and how
+    /// many.
     Lost(u16, u16),
-    /// A contract cancels what waits.
+    /// A contract cancels all its jobs that have arrived so far.
     Cancel(usize),
 }
 
-fn changes(conf: &ExperimentConf) -> Vec<(Duration, Change)> {
+/// Returns the faults and cancellations of the experiment, in order of time.
+fn scheduled_changes(conf: &ExperimentConf) -> Vec<(Duration, Change)> {
     let mut changes = Vec::new();
     for fault in &conf.faults {
         match fault.what {
@@ -430,7 +439,7 @@
     })
 }
 
-/// A new site has no agents with records.
+/// Returns the agents known from an earlier owner: none, as the site is new.
 fn no_agents() -> KnownAgents {
     KnownAgents {
         runs: Vec::new(),
@@ -442,10 +451,11 @@
     format!("endpoint-{number}").into()
 }
 
-fn number_of(key: &str) -> usize {
-    key.parse().expect("keys are numbers of arrivals")
+fn arrival_number(key: &str) -> usize {
+    key.parse()
+        .expect("the key of a job is the number of its arrival")
 }
 
-fn count(of: usize) -> f64 {
-    f64::from(u32::try_from(of).unwrap_or(u32::MAX))
+fn as_f64(count: usize) -> f64 {
+    f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
--- a/crates/bench/src/experiment/experiment_conf.rs
+++ b/crates/bench/src/experiment/experiment_conf.rs
@@ -1,4 +1,4 @@
-//! What an experiment consists of.
+//! The settings of an experiment.
 
 use {
     crate::experiment::Contestant,
@@ -7,103 +7,103 @@
     std::time::Duration,
 };
 
-/// An experiment, as its file describes it.
+/// An experiment, as read from its YAML file.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExperimentConf {
-    /// Name of the experiment.
+    /// Name of the experiment; the output files begin with it.
     pub name: String,
-    /// The site.
+    /// Size of the site.
     pub site: SiteConf,
-    /// How long tasks arrive.
+    /// Time during which jobs arrive.
     #[serde(with = "humantime_serde")]
     pub length: Duration,
-    /// Beginning that is left out of the figures.
+    /// Time at the start of the run that is left out of the results.
     #[serde(with = "humantime_serde")]
     pub warm_up: Duration,
-    /// Seeds of the arrivals; each is a run of its own.
+    /// Seeds of the arrivals, with one run for each.
     pub seeds: Vec<u64>,
     /// Policies to compare.
     pub policies: Vec<Contestant>,
-    /// Who sends what.
+    /// The contracts and their demand.
     pub contracts: Vec<ContractConf>,
-    /// What goes wrong.
+    /// Faults that are injected.
     #[serde(default)]
     pub faults: Vec<FaultConf>,
-    /// Runs to compare with.
+    /// Variants of the arrivals to compare the full run with.
     #[serde(default)]
     pub against: Vec<Variant>,
 }
 
-/// Size of the site.
+/// Size of the site of an experiment.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct SiteConf {
-    /// Entries; the decisions alone have one.
+    /// Number of entries; a run of the decision code alone always has one.
     pub entries: u16,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: u16,
-    /// Slots of each endpoint.
+    /// Number of slots of each endpoint.
     pub slots: u32,
 }
 
 impl SiteConf {
-    /// Returns the slots of all endpoints.
+    /// Returns the total slots of all endpoints.
     #[must_use]
     pub fn all_slots(&self) -> u32 {
         self.slots * u32::from(self.endpoints)
     }
 }
 
-/// One contract and its demand.
+/// A contract and its demand.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ContractConf {
-    /// Name.
+    /// Name of the contract.
     pub name: String,
-    /// Most tasks that run at once within the share.
+    /// Most tasks that the contract may run at once without borrowing.
     pub in_flight_limit: u32,
-    /// Most tasks that wait.
+    /// Most tasks of the contract that may wait.
     #[serde(default = "long_queue")]
     pub queue_limit: u32,
-    /// Urgency against other contracts.
+    /// Urgency relative to other contracts.
     #[serde(default)]
     pub urgency: u8,
-    /// Share against other contracts.
+    /// Weight of the share relative to other contracts.
     #[serde(default = "one")]
     pub weight: u32,
-    /// What happens beyond the share.
+    /// What happens to tasks beyond the in-flight limit.
     pub overflow: Overflow,
-    /// Work that it sends, as a part of all slots.
+    /// Demand of the contract without bursts, as a fraction of all slots.
     pub load: f64,
-    /// Tasks of each job.
+    /// Number of tasks in each job.
     #[serde(default = "one_task")]
     pub tasks_per_job: u16,
     /// Time between submission and deadline.
     #[serde(default = "four_minutes", with = "humantime_serde")]
     pub deadline_in: Duration,
-    /// Declared run times are wrong by up to this factor either way.
+    /// Largest factor between declared and true run time, in either direction.
     #[serde(default = "exact")]
     pub declared_wrong_by: f64,
-    /// What it sends.
+    /// Kinds of tasks that the contract submits.
     pub mix: Vec<MixConf>,
-    /// Times of higher demand.
+    /// Periods of higher demand.
     #[serde(default)]
     pub bursts: Vec<BurstConf>,
-    /// Cancellations of everything that waits.
+    /// Times at which the contract cancels its jobs.
     #[serde(default)]
     pub cancels: Vec<CancelConf>,
 }
 
-/// One part of a contract's tasks.
+/// A class of tasks in the mix of a contract.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct MixConf {
-    /// Name in the report.
+    /// Name of the class in the report.
     pub name: String,
-    /// Kind that is submitted.
+    /// Task kind to submit.
     pub kind: String,
-    /// Part of the contract's tasks.
+    /// Share of the contract's tasks, relative to the other classes.
     pub part: f64,
     /// Shortest run time.
     #[serde(with = "humantime_serde")]
@@ -114,77 +114,78 @@
 }
 
 impl MixConf {
-    /// Returns the mean run time.
+    /// Returns the mean of the run times, which are distributed uniformly.
     #[must_use]
     pub fn mean(&self) -> Duration {
         (self.shortest + self.longest) / 2
     }
 }
 
-/// A time of higher demand.
+/// A period of higher demand.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct BurstConf {
-    /// When it begins.
+    /// Time of its start since the start of the run.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// Time over which demand rises.
+    /// Time over which demand rises to the full factor.
     #[serde(with = "humantime_serde")]
     pub rise: Duration,
-    /// How long it lasts, with the rise.
+    /// Duration of the burst, including the rise.
     #[serde(with = "humantime_serde")]
     pub length: Duration,
-    /// Demand as a multiple of the load.
+    /// Demand at the top, as a multiple of the contract's load.
     pub factor: f64,
 }
 
-/// A cancellation of everything of a contract that waits.
+/// A cancellation of all jobs of a contract that have arrived so far.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CancelConf {
-    /// When it happens.
+    /// Time of the cancellation since the start of the run.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
 }
 
-/// Something that goes wrong.
+/// A fault that is injected into a run.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultConf {
-    /// When it begins.
+    /// Time of its start since the start of the run.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// When it ends.
+    /// Time of its end since the start of the run; without it, the fault lasts to
+    /// the end.
     #[serde(default, with = "humantime_serde")]
     pub until: Option<Duration>,
-    /// What goes wrong.
+    /// Kind of the fault.
     pub what: FaultKind,
-    /// Number of the first endpoint that it concerns.
+    /// Number of the first affected endpoint.
     #[serde(default)]
     pub first: u16,
-    /// How many endpoints it concerns.
+    /// Number of affected endpoints.
     pub endpoints: u16,
 }
 
-/// What goes wrong.
+/// Kind of an injected fault.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// The endpoints fail all that they start, at once.
+    /// The endpoints fail every task shortly after its start.
     FailsAll,
-    /// The endpoints are gone with their agents.
+    /// The endpoints and their agents are lost.
     Lost,
 }
 
-/// Which of the arrivals a run has.
+/// Selects the arrivals that a run uses.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Variant {
-    /// All of them.
+    /// All arrivals.
     Full,
-    /// Only the tasks of one name in the report.
+    /// Only the tasks of the class with this name.
     Alone(String),
-    /// All but what bursts add.
+    /// All arrivals except those that a burst adds.
     WithoutBursts,
 }
 
--- a/crates/bench/src/experiment/fake_slots.rs
+++ b/crates/bench/src/experiment/fake_slots.rs
@@ -1,4 +1,4 @@
-//! One small fake of endpoints' slots, on a clock that is handed in.
+//! Simulates the slots of all endpoints on a clock that the caller advances.
 
 use {
     chestnutrun_types::{BodyDigest, EndpointId, TaskOutcome, TaskRef},
@@ -10,83 +10,85 @@
     },
 };
 
-/// A task that holds a slot.
+/// A task that occupies a slot.
 #[derive(Clone, Debug)]
-pub struct Held {
-    /// The endpoint.
+pub struct RunningTask {
+    /// Endpoint of the slot.
     pub endpoint: EndpointId,
-    /// Position of the task's contract.
+    /// Index of the task's contract in the experiment.
     pub contract: usize,
     /// The task.
     pub task: TaskRef,
-    /// Digest of the body that it belongs to.
+    /// Digest of the body with which the job was submitted.
     pub digest: BodyDigest,
-    /// How it will end.
+    /// Outcome that the task will have when it ends.
     pub outcome: TaskOutcome,
 }
 
-/// Slots that tasks hold until they end.
+/// The tasks that occupy slots, by the time of their end.
 #[derive(Debug)]
 pub struct FakeSlots {
     ends: BinaryHeap<Reverse<(Instant, u64)>>,
-    held: IndexMap<u64, Held>,
+    running: IndexMap<u64, RunningTask>,
     by_contract: Vec<usize>,
     starts: u64,
 }
 
 impl FakeSlots {
-    /// Creates free slots for tasks of that many contracts.
+    /// Creates slots without running tasks for `contracts` contracts.
     #[must_use]
     pub fn new(contracts: usize) -> Self {
         Self {
             ends: BinaryHeap::new(),
-            held: IndexMap::new(),
+            running: IndexMap::new(),
             by_contract: vec![0; contracts],
             starts: 0,
         }
     }
 
-    /// Starts a task.
-    pub fn start(&mut self, at: Instant, run_time: Duration, held: Held) {
+    /// Occupies a slot from `at` for `run_time`.
+    pub fn start(&mut self, at: Instant, run_time: Duration, running: RunningTask) {
         self.starts += 1;
         self.ends.push(Reverse((at + run_time, self.starts)));
-        self.by_contract[held.contract] += 1;
-        self.held.insert(self.starts, held);
+        self.by_contract[running.contract] += 1;
+        self.running.insert(self.starts, running);
     }
 
-    /// Returns when the next task ends.
+    /// Returns the next end time, which may be that of a task whose endpoint was
+    /// removed; none where no end is due.
     #[must_use]
     pub fn next_end(&self) -> Option<Instant> {
         self.ends.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Ends the next task; none where it was lost with its endpoint.
-    pub fn end(&mut self) -> Option<Held> {
+    /// Frees the slot of the task that ends next and returns the task; none where
+    /// the endpoint of that task was removed.
+    pub fn finish_next(&mut self) -> Option<RunningTask> {
         let Reverse((_, number)) = self.ends.pop()?;
-        let held = self.held.swap_remove(&number)?;
-        self.by_contract[held.contract] -= 1;
-        Some(held)
+        let running = self.running.swap_remove(&number)?;
+        self.by_contract[running.contract] -= 1;
+        Some(running)
     }
 
-    /// Loses an endpoint with all that it runs.
-    pub fn lose(&mut self, endpoint: &EndpointId) {
+    /// Removes an endpoint together with its running tasks.
+    pub fn remove_endpoint(&mut self, endpoint: &EndpointId) {
         let by_contract = &mut self.by_contract;
-        self.held.retain(|_, held| {
-            let stays = held.endpoint != *endpoint;
-            if !stays {
-                by_contract[held.contract] -= 1;
+        self.running.retain(|_, running| {
+            let is_kept = running.endpoint != *endpoint;
+            if !is_kept {
+                by_contract[running.contract] -= 1;
             }
-            stays
+            is_kept
         });
     }
 
-    /// Returns how many slots are held.
+    /// Returns the number of occupied slots.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.held.len()
+    pub fn running(&self) -> usize {
+        self.running.len()
     }
 
-    /// Returns how many slots each contract holds.
+    /// Returns the number of occupied slots of each contract.
     #[must_use]
     pub fn by_contract(&self) -> &[usize] {
         &self.by_contract
--- a/crates/bench/src/experiment/ideal.rs
+++ b/crates/bench/src/experiment/ideal.rs
@@ -1,4 +1,4 @@
-//! One queue with full knowledge, to compare with.
+//! A policy with perfect knowledge of run times, as a reference.
 
 use {
     chestnutrun_decisions::policy::{Policy, SlotUse, Slots, WaitingTask},
@@ -7,9 +7,9 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Starts the shortest of all waiting tasks, without limits.
+/// Starts the shortest of all waiting tasks and ignores the limits of contracts.
 ///
-/// The experiment hands it the true run times as the declared ones.
+/// The experiment declares the true run times under this policy.
 #[derive(Debug, Default)]
 pub struct Ideal {
     queue: BTreeMap<(Duration, u64), WaitingTask>,
--- a/crates/bench/src/experiment/measures.rs
+++ b/crates/bench/src/experiment/measures.rs
@@ -1,45 +1,45 @@
-//! What a run measures.
+//! The measurements of a run.
 
 use {
     crate::experiment::ExperimentConf, hdrhistogram::Histogram, indexmap::IndexMap,
     serde::Serialize, std::time::Duration,
 };
 
-/// Digits that histograms keep.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of the histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// How long after a burst service may need to be normal again.
+/// Time after a burst until response times must be normal again.
 const RECOVERY: Duration = Duration::from_secs(1);
 
-/// Time after the recovery that is looked at.
+/// Length of the window after the recovery.
 const AFTER: Duration = Duration::from_secs(5);
 
-/// Part of a run by the time at which a task arrived.
+/// Part of a run, by the arrival time of the job.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Window {
-    /// From the end of the warm-up.
+    /// The whole run after the warm-up.
     All,
-    /// While a burst lasts.
+    /// During a burst.
     Burst,
-    /// From one second after a burst.
+    /// The 5 s that begin one second after a burst.
     After,
 }
 
 /// Response times of one group of tasks.
 #[derive(Clone, Debug)]
-pub struct Responses {
+pub struct ResponseTimes {
     /// Response times, in microseconds.
     pub response: Histogram<u64>,
-    /// Response over run time, in thousandths.
+    /// Response time divided by run time, in thousandths.
     pub ratio: Histogram<u64>,
-    /// Response less run time, in microseconds.
+    /// Response time minus run time, in microseconds.
     pub overhead: Histogram<u64>,
 }
 
-impl Responses {
+impl ResponseTimes {
     fn new() -> Self {
-        let new = || Histogram::new(DIGITS).expect("the digits are in range");
+        let new = || Histogram::new(SIGNIFICANT_DIGITS).expect("the digits are in range");
         Self {
             response: new(),
             ratio: new(),
@@ -56,39 +56,39 @@
     }
 }
 
-/// Group of tasks: contract, name in the report and window.
+/// Key of a group of tasks: contract, name of the class in the mix, window.
 pub type GroupKey = (String, String, Window);
 
-/// What a run measures.
+/// The measurements of one run, or of several runs merged.
 #[derive(Clone, Debug, Default)]
 pub struct Measures {
     /// Response times by group.
-    pub groups: IndexMap<GroupKey, Responses>,
+    pub groups: IndexMap<GroupKey, ResponseTimes>,
     /// Tasks that did not complete, by outcome.
     pub failures: IndexMap<String, u64>,
-    /// Seconds of slots that were busy after the warm-up.
+    /// Busy slot-seconds between the end of the warm-up and the end of the arrivals.
     pub busy: f64,
-    /// Seconds of slots that there were.
+    /// Available slot-seconds in the same period.
     pub slots: f64,
-    /// Seconds of slots that were busy while work waited.
+    /// Busy slot-seconds while at least one task waited.
     pub busy_waiting: f64,
-    /// Seconds of slots that there were while work waited.
+    /// Available slot-seconds while at least one task waited.
     pub slots_waiting: f64,
     /// Most tasks that waited at once.
     pub most_waiting: u64,
-    /// Slot seconds by second and contract.
+    /// Busy slot-seconds in each second of the run, by contract.
     pub used: Vec<Vec<f64>>,
-    /// Messages between processes.
+    /// Messages between processes; zero where there are no processes.
     pub messages: u64,
     /// Tasks that were submitted.
     pub tasks: u64,
-    /// Tasks that a broken endpoint failed.
-    pub eaten: u64,
+    /// Tasks that failed at an endpoint that fails everything.
+    pub failed_by_broken: u64,
 }
 
 impl Measures {
-    /// Records a task that completed.
-    pub fn completed(
+    /// Records a completed task in every window that contains `at`.
+    pub fn record_completion(
         &mut self,
         conf: &ExperimentConf,
         contract: usize,
@@ -97,31 +97,35 @@
         response: Duration,
         run_time: Duration,
     ) {
-        let of = &conf.contracts[contract];
+        let contract = &conf.contracts[contract];
         for window in windows(conf, at) {
-            let key = (of.name.clone(), of.mix[part].name.clone(), window);
+            let key = (
+                contract.name.clone(),
+                contract.mix[part].name.clone(),
+                window,
+            );
             self.groups
                 .entry(key)
-                .or_insert_with(Responses::new)
+                .or_insert_with(ResponseTimes::new)
                 .record(response, run_time);
         }
     }
 
-    /// Records a task that did not complete.
-    pub fn failed(&mut self, outcome: impl Into<String>) {
+    /// Counts a task that ended with another outcome.
+    pub fn record_failure(&mut self, outcome: impl Into<String>) {
         *self.failures.entry(outcome.into()).or_default() += 1;
     }
 
-    /// Adds the measures of another run.
+    /// Adds the measurements of another run; `used` stays that of the first run.
     pub fn merge(&mut self, other: &Self) {
         for (key, responses) in &other.groups {
-            let mine = self
+            let merged = self
                 .groups
                 .entry(key.clone())
-                .or_insert_with(Responses::new);
-            mine.response += &responses.response;
-            mine.ratio += &responses.ratio;
-            mine.overhead += &responses.overhead;
+                .or_insert_with(ResponseTimes::new);
+            merged.response += &responses.response;
+            merged.ratio += &responses.ratio;
+            merged.overhead += &responses.overhead;
         }
         for (outcome, count) in &other.failures {
             *self.failures.entry(outcome.clone()).or_default() += count;
@@ -133,26 +137,26 @@
         self.most_waiting = self.most_waiting.max(other.most_waiting);
         self.messages += other.messages;
         self.tasks += other.tasks;
-        self.eaten += other.eaten;
+        self.failed_by_broken += other.failed_by_broken;
         if self.used.is_empty() {
             self.used.clone_from(&other.used);
         }
     }
 
-    /// Returns the part of the slots that was busy.
+    /// Returns the fraction of available slot-seconds that was busy.
     #[must_use]
     pub fn busy_part(&self) -> f64 {
         self.busy / self.slots.max(f64::EPSILON)
     }
 
-    /// Returns the part of the slots that was busy while work waited.
+    /// Returns the fraction that was busy while at least one task waited.
     #[must_use]
     pub fn busy_waiting_part(&self) -> f64 {
         self.busy_waiting / self.slots_waiting.max(f64::EPSILON)
     }
 }
 
-/// Returns the windows that a moment belongs to.
+/// Returns the windows that contain the time `at`.
 fn windows(conf: &ExperimentConf, at: Duration) -> Vec<Window> {
     let mut windows = Vec::new();
     if at < conf.warm_up {
@@ -164,8 +168,8 @@
         windows.push(Window::Burst);
     }
     let is_after = bursts().any(|burst| {
-        let normal = burst.at + burst.length + RECOVERY;
-        (normal..normal + AFTER).contains(&at)
+        let recovered_at = burst.at + burst.length + RECOVERY;
+        (recovered_at..recovered_at + AFTER).contains(&at)
     });
     if is_after {
         windows.push(Window::After);
@@ -174,10 +178,10 @@
 }
 
 fn record(histogram: &mut Histogram<u64>, duration: Duration) {
-    let recorded = histogram.record(micros(duration));
+    let recorded = histogram.record(as_micros(duration));
     recorded.expect("the histogram grows as needed");
 }
 
-fn micros(duration: Duration) -> u64 {
+fn as_micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments: policies compared on the same arrivals.
+//! Compares placement policies on the same arrivals.
 
 mod arguments;
 mod arrivals;
@@ -23,9 +23,9 @@
         BurstConf, CancelConf, ContractConf, ExperimentConf, FaultConf, FaultKind, MixConf,
         SiteConf, Variant,
     },
-    fake_slots::{FakeSlots, Held},
+    fake_slots::{FakeSlots, RunningTask},
     ideal::Ideal,
-    measures::{GroupKey, Measures, Responses, Window},
+    measures::{GroupKey, Measures, ResponseTimes, Window},
     real_run::RealRun,
     report::{GroupReport, Report, RunReport},
     run_experiment::run,
--- a/crates/bench/src/experiment/plots.rs
+++ b/crates/bench/src/experiment/plots.rs
@@ -1,4 +1,4 @@
-//! Plots of an experiment.
+//! Draws the plots of an experiment.
 
 use {
     crate::experiment::{Contestant, GroupKey, Measures, Variant, Window},
@@ -12,16 +12,17 @@
 /// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (900, 520);
 
-/// Points of a curve.
+/// Number of points of each curve.
 const POINTS: u32 = 400;
 
-/// A run with what it measured.
+/// A policy, a variant of the arrivals, and their measurements.
 pub type MeasuredRun = (Contestant, Variant, Measures);
 
-/// Plots the distribution of each group's response under each policy.
+/// Writes one SVG plot for each group of tasks: the response time by percentile,
+/// with a curve for each policy and variant. Returns the paths of the plots.
 ///
 /// # Errors
-/// Returns an error where a plot cannot be drawn.
+/// Returns an error where a plot cannot be drawn or written.
 pub fn plot(
     folder: &Path,
     name: &str,
--- a/crates/bench/src/experiment/real_run.rs
+++ b/crates/bench/src/experiment/real_run.rs
@@ -1,4 +1,6 @@
-//! Drives real processes on loopback with open-loop arrivals.
+//! Runs an experiment on real processes on loopback.
+//!
+//! Jobs are sent at their planned times, whether or not earlier jobs have ended.
 
 use {
     crate::{
@@ -19,41 +21,41 @@
     tokio::{sync::mpsc::channel, time::sleep_until},
 };
 
-/// Longest time after the last arrival until a run is cut off.
-const DRAIN: Duration = Duration::from_mins(1);
+/// Longest time after the last arrival that a run waits for answers.
+const DRAIN_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// One run on real processes.
 #[derive(Debug)]
 pub struct RealRun {
     conf: ExperimentConf,
     measures: RefCell<Measures>,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl RealRun {
-    /// Runs to the end and returns what was measured.
+    /// Runs the experiment to its end and returns the measurements.
     ///
     /// # Errors
-    /// Returns an error where the site does not come up.
+    /// Returns an error where the site does not start.
     pub async fn run(
         conf: &ExperimentConf,
         arrivals: Vec<Arrival>,
         contestant: Contestant,
     ) -> Result<Measures, SiteError> {
-        let site = Rc::new(start(conf, contestant).await?);
+        let site = Rc::new(start_site(conf, contestant).await?);
         let messages_before = messages(&site).await;
         let run = Rc::new(Self {
             conf: conf.clone(),
             measures: RefCell::default(),
-            began: Instant::now(),
+            started_at: Instant::now(),
         });
         for fault in conf.faults.clone() {
             let (run, site) = (run.clone(), site.clone());
-            ntex::rt::spawn(async move { run.fault(&site, fault).await });
+            ntex::rt::spawn(async move { run.inject_fault(&site, fault).await });
         }
         let (done, mut all_done) = channel::<()>(1);
         for (number, arrival) in arrivals.into_iter().enumerate() {
-            sleep_until((run.began + arrival.at).into()).await;
+            sleep_until((run.started_at + arrival.at).into()).await;
             let (run, site, done) = (run.clone(), site.clone(), done.clone());
             ntex::rt::spawn(async move {
                 run.submit(&site, number, arrival).await;
@@ -61,8 +63,8 @@
             });
         }
         drop(done);
-        // The channel closes when the last answer came.
-        let _ = tokio::time::timeout(DRAIN, all_done.recv()).await;
+        // The channel closes when every submission has ended.
+        let _ = tokio::time::timeout(DRAIN_TIMEOUT, all_done.recv()).await;
         let mut measures = run.measures.borrow().clone();
         measures.messages = messages(&site).await.saturating_sub(messages_before);
         let length = conf.length.saturating_sub(conf.warm_up);
@@ -91,25 +93,28 @@
         let entry = u16::try_from(number % usize::from(self.conf.site.entries));
         let callers = site.plan.callers(entry.unwrap_or_default());
         let key = format!("job-{number}");
-        let began = Instant::now();
+        let submitted_at = Instant::now();
         let reply = site
             .client
             .submit(callers, &contract.name, &key, &body)
             .await;
-        let response = began.elapsed();
+        let response = submitted_at.elapsed();
         let mut measures = self.measures.borrow_mut();
         measures.tasks += arrival.tasks.len() as u64;
         match reply {
             Ok(reply) if reply.status == 200 => {
-                self.answered(&mut measures, &arrival, &reply.body, response);
+                self.record_answer(&mut measures, &arrival, &reply.body, response);
             }
-            Ok(reply) => measures.failed(format!("status {}", reply.status)),
-            Err(_) => measures.failed("no answer"),
+            Ok(reply) => measures.record_failure(format!("status {}", reply.status)),
+            Err(_) => measures.record_failure("no answer"),
         }
     }
 
-    /// A job's response is compared with its longest task.
-    fn answered(
+    /// Records the outcomes of an answered job.
+    ///
+    /// The response time of the job is compared with the run time of its longest
+    /// task.
+    fn record_answer(
         &self,
         measures: &mut Measures,
         arrival: &Arrival,
@@ -118,7 +123,7 @@
     ) {
         let longest = arrival.tasks.iter().max_by_key(|task| task.run_time);
         if let Some(longest) = longest.filter(|_| answer["status"] == "complete") {
-            measures.completed(
+            measures.record_completion(
                 &self.conf,
                 arrival.contract,
                 longest.part,
@@ -127,40 +132,41 @@
                 longest.run_time,
             );
         }
-        let ended = arrival.at + response;
+        let ended_at = arrival.at + response;
         for (index, task) in arrival.tasks.iter().enumerate() {
             let outcome = &answer["tasks"][index]["outcome"];
             if outcome == "completed" {
-                measures.busy += self.busy(ended, task.run_time);
+                measures.busy += self.busy_seconds(ended_at, task.run_time);
             } else {
                 let text = outcome.to_string();
-                measures.failed(text.chars().take(40).collect::<String>());
+                measures.record_failure(text.chars().take(40).collect::<String>());
             }
         }
     }
 
-    /// Returns the seconds of a run that lie in the measured time.
-    fn busy(&self, ended: Duration, run_time: Duration) -> f64 {
-        let from = ended.saturating_sub(run_time).max(self.conf.warm_up);
-        let to = ended.min(self.conf.length);
+    /// Returns the seconds of a task's run that lie between the end of the warm-up
+    /// and the end of the arrivals.
+    fn busy_seconds(&self, ended_at: Duration, run_time: Duration) -> f64 {
+        let from = ended_at.saturating_sub(run_time).max(self.conf.warm_up);
+        let to = ended_at.min(self.conf.length);
         to.saturating_sub(from).as_secs_f64()
     }
 
-    async fn fault(&self, site: &Site, fault: FaultConf) {
-        sleep_until((self.began + fault.at).into()).await;
+    async fn inject_fault(&self, site: &Site, fault: FaultConf) {
+        sleep_until((self.started_at + fault.at).into()).await;
         let numbers = fault.first..fault.first + fault.endpoints;
         match fault.what {
             FaultKind::FailsAll => {
                 set_faults(site, numbers.clone(), EndpointFault::FailsAll).await;
                 if let Some(until) = fault.until {
-                    sleep_until((self.began + until).into()).await;
+                    sleep_until((self.started_at + until).into()).await;
                     set_faults(site, numbers, EndpointFault::None).await;
                 }
             }
             FaultKind::Lost => {
                 for number in numbers {
                     let number = usize::from(number);
-                    // A process that ended already needs no signal.
+                    // Signalling fails where the process has already ended.
                     let _ = site.agents[number].signal("KILL");
                     let _ = site.endpoints[number].signal("KILL");
                 }
@@ -169,7 +175,7 @@
     }
 }
 
-async fn start(conf: &ExperimentConf, contestant: Contestant) -> Result<Site, SiteError> {
+async fn start_site(conf: &ExperimentConf, contestant: Contestant) -> Result<Site, SiteError> {
     let plan = SitePlan::builder()
         .entries(conf.site.entries)
         .endpoints(conf.site.endpoints)
@@ -197,7 +203,7 @@
         let url = format!("http://{}/fault", site.plan.endpoint(number));
         let body = json!(fault).to_string();
         let headers = [("content-type", "application/json")];
-        // An endpoint that is gone cannot be told.
+        // The request fails where the endpoint has been lost.
         let _ = site.client.send(Method::PUT, url, &headers, body).await;
     }
 }
--- a/crates/bench/src/experiment/report.rs
+++ b/crates/bench/src/experiment/report.rs
@@ -1,4 +1,4 @@
-//! The report of an experiment: a table and JSON.
+//! The report of an experiment, as a table for the terminal and as JSON.
 
 use {
     crate::experiment::{Contestant, Measures, Variant, Window},
@@ -8,12 +8,12 @@
     std::fmt::Write,
 };
 
-/// Report of one experiment.
+/// Report of an experiment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// Name of the experiment.
     pub name: String,
-    /// Whether real processes ran.
+    /// Whether the runs used real processes.
     pub real: bool,
     /// Seeds of the arrivals.
     pub seeds: Vec<u64>,
@@ -24,13 +24,13 @@
 /// Report of one policy on one variant of the arrivals.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunReport {
-    /// The policy.
+    /// Policy of the run.
     pub policy: Contestant,
-    /// Which arrivals it had.
+    /// Arrivals of the run.
     pub variant: Variant,
-    /// Part of the slots that was busy.
+    /// Fraction of the slots that was busy.
     pub busy: f64,
-    /// Part of the slots that was busy while work waited.
+    /// Fraction of the slots that was busy while at least one task waited.
     pub busy_while_waiting: f64,
     /// Most tasks that waited at once.
     pub most_waiting: u64,
@@ -38,43 +38,44 @@
     pub tasks: u64,
     /// Tasks that did not complete, by outcome.
     pub failures: IndexMap<String, u64>,
-    /// Tasks that broken endpoints failed.
-    pub eaten: u64,
-    /// Messages between processes for each task; zero where none were counted.
+    /// Tasks that failed at an endpoint that fails everything.
+    #[serde(rename = "eaten")]
+    pub failed_by_broken: u64,
+    /// Messages between processes per task; zero where there are no processes.
     pub messages_per_task: f64,
-    /// Response times by contract, name and window.
+    /// Response times by contract, class of tasks and window.
     pub groups: Vec<GroupReport>,
-    /// Part of all slots that each contract used, by second, at the first seed.
+    /// Busy slot-seconds in each second of the run, by contract; of the first seed.
     pub used: Vec<Vec<f64>>,
 }
 
 /// Response times of one group of tasks.
 #[derive(Clone, Debug, Serialize)]
 pub struct GroupReport {
-    /// Contract.
+    /// Name of the contract.
     pub contract: String,
-    /// Name in the mix.
+    /// Name of the class of tasks in the mix.
     pub name: String,
-    /// Part of the run.
+    /// Part of the run in which the tasks arrived.
     pub window: Window,
-    /// Tasks that completed.
+    /// Number of completed tasks.
     pub count: u64,
-    /// Median response, in milliseconds.
+    /// Median response time, in milliseconds.
     pub median_ms: f64,
-    /// 99th percentile of the response, in milliseconds.
+    /// 99th percentile of the response time, in milliseconds.
     pub p99_ms: f64,
-    /// Median of response over run time.
+    /// Median of response time divided by run time.
     pub median_ratio: f64,
-    /// 99th percentile of response over run time.
+    /// 99th percentile of response time divided by run time.
     pub p99_ratio: f64,
-    /// Median of response less run time, in milliseconds.
+    /// Median of response time minus run time, in milliseconds.
     pub median_overhead_ms: f64,
-    /// 99th percentile of response less run time, in milliseconds.
+    /// 99th percentile of response time minus run time, in milliseconds.
     pub p99_overhead_ms: f64,
 }
 
 impl RunReport {
-    /// Makes the report of a run.
+    /// Creates the report of a run from its measurements.
     #[must_use]
     pub fn new(policy: Contestant, variant: Variant, measures: &Measures) -> Self {
         let groups = measures.groups.iter().map(|(key, responses)| GroupReport {
@@ -97,7 +98,7 @@
             most_waiting: measures.most_waiting,
             tasks: measures.tasks,
             failures: measures.failures.clone(),
-            eaten: measures.eaten,
+            failed_by_broken: measures.failed_by_broken,
             messages_per_task: thousandths(measures.messages) * 1_000.0
                 / (thousandths(measures.tasks) * 1_000.0).max(1.0),
             groups: groups.collect(),
@@ -105,29 +106,30 @@
         }
     }
 
-    fn group(&self, like: &GroupReport) -> Option<&GroupReport> {
+    /// Returns the group with the contract, name and window of `other`.
+    fn matching_group(&self, other: &GroupReport) -> Option<&GroupReport> {
         self.groups.iter().find(|group| {
-            group.contract == like.contract
-                && group.name == like.name
-                && group.window == like.window
+            group.contract == other.contract
+                && group.name == other.name
+                && group.window == other.window
         })
     }
 }
 
 impl Report {
-    /// Returns the table for the terminal.
+    /// Returns the table that is printed to the terminal.
     #[must_use]
     pub fn table(&self) -> String {
         let mut out = String::new();
-        let path = if self.real {
+        let mode = if self.real {
             "real processes"
         } else {
             "decisions alone"
         };
-        // Writing to a string does not fail.
-        let _ = writeln!(out, "{} ({path}, seeds {:?})", self.name, self.seeds);
-        let full = |run: &&RunReport| run.variant == Variant::Full;
-        for run in self.runs.iter().filter(full) {
+        // Writing to a string cannot fail.
+        let _ = writeln!(out, "{} ({mode}, seeds {:?})", self.name, self.seeds);
+        let is_full = |run: &&RunReport| run.variant == Variant::Full;
+        for run in self.runs.iter().filter(is_full) {
             self.write_run(&mut out, run);
         }
         out
@@ -137,7 +139,7 @@
         let _ = writeln!(
             out,
             "\n{:<15} {:?}: {} tasks, busy {:.1}%, while work waits {:.1}%, most waiting {}, \
-             messages a task {:.2}, eaten {}, not completed {:?}",
+             messages per task {:.2}, failed by broken endpoints {}, not completed {:?}",
             run.policy,
             run.variant,
             run.tasks,
@@ -145,12 +147,12 @@
             run.busy_while_waiting * 100.0,
             run.most_waiting,
             run.messages_per_task,
-            run.eaten,
+            run.failed_by_broken,
             run.failures,
         );
         let _ = writeln!(
             out,
-            "  {:<10} {:<12} {:<6} {:>8} {:>10} {:>10} {:>8} {:>8} {:>9} {:>9}  p99 against",
+            "  {:<10} {:<12} {:<6} {:>8} {:>10} {:>10} {:>8} {:>8} {:>9} {:>9}  p99 compared with",
             "contract",
             "name",
             "window",
@@ -178,13 +180,14 @@
                 group.p99_ratio,
                 group.median_overhead_ms,
                 group.p99_overhead_ms,
-                self.against(run, group),
+                self.compare_variants(run, group),
             );
         }
     }
 
-    /// Compares with the same policy on the other variants.
-    fn against(&self, run: &RunReport, group: &GroupReport) -> String {
+    /// Returns the ratio of the group's 99th percentile to that of the same policy
+    /// on each other variant.
+    fn compare_variants(&self, run: &RunReport, group: &GroupReport) -> String {
         if run.variant != Variant::Full {
             return String::new();
         }
@@ -193,15 +196,16 @@
             .iter()
             .filter(|other| other.policy == run.policy && other.variant != Variant::Full);
         let compared = others.filter_map(|other| {
-            let of = other.group(group)?;
-            let ratio = group.p99_ms / of.p99_ms.max(f64::EPSILON);
+            let other_group = other.matching_group(group)?;
+            let ratio = group.p99_ms / other_group.p99_ms.max(f64::EPSILON);
             Some(format!("{ratio:.2}x {:?}", other.variant))
         });
         compared.collect::<Vec<_>>().join(", ")
     }
 }
 
-/// Returns a quantile in thousandths of the recorded unit.
+/// Returns a quantile divided by 1,000: microseconds become milliseconds, and
+/// thousandths become a plain ratio.
 fn quantile(histogram: &Histogram<u64>, at: f64) -> f64 {
     thousandths(histogram.value_at_quantile(at))
 }
--- a/crates/bench/src/experiment/run_experiment.rs
+++ b/crates/bench/src/experiment/run_experiment.rs
@@ -1,4 +1,4 @@
-//! Runs experiments and writes their reports.
+//! Entry point of the `experiment` command.
 
 use {
     crate::experiment::{
@@ -8,10 +8,12 @@
     std::{fs, io, path::Path},
 };
 
-/// Runs experiments and writes their reports.
+/// Runs the experiments of all given files, prints their tables and, with `out`,
+/// writes their reports and plots.
 ///
 /// # Errors
-/// Returns an error where a file cannot be read or a report not written.
+/// Returns an error where a file cannot be read, a site does not start or a report
+/// cannot be written.
 pub async fn run(arguments: ExperimentArguments) -> io::Result<()> {
     for file in &arguments.files {
         let text = fs::read_to_string(file)?;
@@ -19,7 +21,7 @@
         if let Some(seed) = arguments.seed {
             conf.seeds = vec![seed];
         }
-        let runs = measure(&conf, arguments.real).await?;
+        let runs = run_all(&conf, arguments.real).await?;
         let report = Report {
             name: conf.name.clone(),
             real: arguments.real,
@@ -33,13 +35,14 @@
         };
         println!("{}", report.table());
         if let Some(folder) = &arguments.out {
-            write(folder, &report, &runs)?;
+            write_report(folder, &report, &runs)?;
         }
     }
     Ok(())
 }
 
-async fn measure(conf: &ExperimentConf, real: bool) -> io::Result<Vec<plots::MeasuredRun>> {
+/// Runs each policy on each variant, and merges the runs of all seeds.
+async fn run_all(conf: &ExperimentConf, real: bool) -> io::Result<Vec<plots::MeasuredRun>> {
     let mut runs = Vec::new();
     for policy in &conf.policies {
         if real && *policy == Contestant::Ideal {
@@ -48,15 +51,15 @@
         for variant in variants(conf) {
             let mut measures = Measures::default();
             for seed in &conf.seeds {
-                let all = arrivals(conf, *seed);
-                let selected = select(conf, &all, &variant);
-                let of_seed = if real {
+                let all_arrivals = arrivals(conf, *seed);
+                let selected = select(conf, &all_arrivals, &variant);
+                let run_measures = if real {
                     let run = RealRun::run(conf, selected, *policy).await;
                     run.map_err(io::Error::other)?
                 } else {
                     DecisionsRun::new(conf, &selected, *policy, *seed).run()
                 };
-                measures.merge(&of_seed);
+                measures.merge(&run_measures);
             }
             runs.push((*policy, variant, measures));
         }
@@ -70,7 +73,7 @@
     variants
 }
 
-fn write(folder: &Path, report: &Report, runs: &[plots::MeasuredRun]) -> io::Result<()> {
+fn write_report(folder: &Path, report: &Report, runs: &[plots::MeasuredRun]) -> io::Result<()> {
     fs::create_dir_all(folder)?;
     let path = folder.join(format!("{}.json", report.name));
     let text = serde_json::to_string_pretty(report).map_err(io::Error::other)?;
--- a/crates/bench/src/experiment/site_messages.rs
+++ b/crates/bench/src/experiment/site_messages.rs
@@ -1,24 +1,24 @@
-//! Messages between a site's processes.
+//! Counts the messages between the processes of a site.
 
 use {crate::site::Site, ntex::http::Method, serde_json::Value};
 
-/// Name of the counter, with the label of messages that were sent.
-const SENT: &str = "direction=\"sent\"";
+/// Label of sent messages in the metrics.
+const SENT_LABEL: &str = "direction=\"sent\"";
 
-/// Name of the counter of messages.
+/// Prefix of the metrics that count messages.
 const COUNTER: &str = "chestnutrun_messages";
 
-/// Returns how many messages the entries sent to each other and to agents, and
-/// received from agents.
+/// Returns the number of messages that the entries have sent to each other and to
+/// agents, and received from agents. An entry that does not answer is left out.
 pub async fn messages(site: &Site) -> u64 {
     let mut count = 0;
     for number in 0..site.plan.entries() {
         let operators = site.plan.entry_operators(number);
-        let asked = site
+        let response = site
             .client
             .operate(Method::GET, operators, "/metrics", String::new())
             .await;
-        let Ok(reply) = asked else {
+        let Ok(reply) = response else {
             continue;
         };
         if let Value::String(text) = reply.body {
@@ -31,7 +31,7 @@
 fn count_messages(text: &str) -> u64 {
     text.lines()
         .filter(|line| line.starts_with(COUNTER))
-        .filter(|line| line.contains(SENT) || line.contains("kind=\"agent\""))
+        .filter(|line| line.contains(SENT_LABEL) || line.contains("kind=\"agent\""))
         .filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok())
         .sum()
 }
