--- a/crates/bench/src/demo/arguments.rs
+++ b/crates/bench/src/demo/arguments.rs
@@ -1,13 +1,13 @@
-//! Arguments of the demo.
+//! Command-line arguments of `chestnutrun-bench demo`.
 
 use {bpaf::Bpaf, std::str::FromStr};
 
-/// A site that the demo brings up.
+/// The sites that the demo can start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SiteName {
-    /// The letter desk of the Cooperative.
+    /// Letter desk of the Cooperative.
     Cooperative,
-    /// The splint desk of the Alliance.
+    /// Splint desk of the Alliance.
     Alliance,
 }
 
@@ -18,21 +18,21 @@
         match text {
             "cooperative" => Ok(Self::Cooperative),
             "alliance" => Ok(Self::Alliance),
-            _ => Err("a site is cooperative or alliance".to_owned()),
+            _ => Err("the site must be cooperative or alliance".to_owned()),
         }
     }
 }
 
-/// Arguments of the demo.
+/// Command-line arguments of the `demo` command.
 #[derive(Bpaf, Clone, Debug)]
 pub struct DemoArguments {
-    /// Site to bring up: cooperative or alliance.
+    /// Site to start: cooperative or alliance.
     #[bpaf(argument("SITE"), fallback(SiteName::Cooperative))]
     pub site: SiteName,
     /// Seed of the arrivals and run times.
     #[bpaf(argument("NUMBER"), fallback(1))]
     pub seed: u64,
-    /// Leave the site up until Ctrl-C.
+    /// Keep the site running after the report, until Ctrl-C.
     #[bpaf(switch)]
     pub keep: bool,
 }
--- a/crates/bench/src/demo/cli_settings.rs
+++ b/crates/bench/src/demo/cli_settings.rs
@@ -1,4 +1,4 @@
-//! Settings with which the command line finds the demo's site.
+//! Writes the settings that the command-line client needs for the demo's site.
 
 use {
     crate::{demo::SiteProfile, site::Site},
@@ -8,7 +8,8 @@
 /// Name of the settings file in the site's folder.
 const FILE_NAME: &str = "chestnutrun.yaml";
 
-/// Writes settings and tokens into the site's folder; returns the settings file.
+/// Writes the settings and the contract tokens to the site's folder and returns
+/// the path of the settings file.
 pub(crate) fn write_cli_settings(site: &Site, profile: &SiteProfile) -> io::Result<PathBuf> {
     let plan = &site.plan;
     let entries = (0..plan.entries()).map(|number| plan.entry_operators(number));
@@ -17,12 +18,12 @@
         "callers: {callers}\noperators: [{operators}]\nagents: [{agents}]\n\
          operator_token_file: operator.token\ncontract_token_files:\n",
         callers = plan.callers(0),
-        operators = list(entries),
-        agents = list(agents),
+        operators = quoted_list(entries),
+        agents = quoted_list(agents),
     );
     for kind in profile.kinds {
         let file = format!("{}.token", kind.contract);
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(text, "  {}: {file}", kind.contract);
         fs::write(
             site.folder().join(file),
@@ -34,7 +35,8 @@
     Ok(path)
 }
 
-fn list(addresses: impl Iterator<Item = SocketAddr>) -> String {
+/// Returns the addresses quoted and separated by commas.
+fn quoted_list(addresses: impl Iterator<Item = SocketAddr>) -> String {
     let quoted: Vec<String> = addresses.map(|address| format!("\"{address}\"")).collect();
     quoted.join(", ")
 }
--- a/crates/bench/src/demo/endpoint_alone.rs
+++ b/crates/bench/src/demo/endpoint_alone.rs
@@ -1,4 +1,4 @@
-//! Times an endpoint without the dispatcher.
+//! Measures an endpoint without the dispatcher.
 
 use {
     crate::{
@@ -11,29 +11,32 @@
     std::time::{Duration, Instant},
 };
 
-/// How many runs are timed.
+/// Number of measured runs.
 const RUNS: u16 = 20;
 
-/// Run time of each, in milliseconds.
+/// Run time of each run, in milliseconds.
 const RUN_MILLISECONDS: u64 = 20;
 
-/// Returns how long runs at an endpoint took beyond their run time.
+/// Sends runs directly to the first endpoint and returns the time that each took
+/// in addition to its run time.
 pub(crate) async fn endpoint_alone(site: &Site) -> Result<Vec<Duration>, SiteError> {
-    let mut beyond = Vec::new();
+    let mut overheads = Vec::new();
     for index in 0..RUNS {
-        let body = request(index)?;
+        let body = request_body(index)?;
         let begin = Instant::now();
         site.client
             .operate(Method::POST, site.plan.endpoint(0), "/run", body)
             .await?;
         let run_time = Duration::from_millis(RUN_MILLISECONDS);
-        beyond.push(begin.elapsed().saturating_sub(run_time));
+        overheads.push(begin.elapsed().saturating_sub(run_time));
     }
-    Ok(beyond)
+    Ok(overheads)
 }
 
-fn request(index: u16) -> Result<String, SiteError> {
-    let failed = |e: serde_json::Error| SiteError::NoAnswer("/run".to_owned(), e.to_string());
+/// Returns the body of the request that starts run number `index`.
+fn request_body(index: u16) -> Result<String, SiteError> {
+    let serialization_error =
+        |e: serde_json::Error| SiteError::NoAnswer("/run".to_owned(), e.to_string());
     let input = RunInput {
         run_ms: RUN_MILLISECONDS,
         ..RunInput::default()
@@ -45,7 +48,7 @@
             index,
         },
         kind: "endpoint-alone".into(),
-        input: serde_json::to_string(&input).map_err(failed)?,
+        input: serde_json::to_string(&input).map_err(serialization_error)?,
     };
-    serde_json::to_string(&request).map_err(failed)
+    serde_json::to_string(&request).map_err(serialization_error)
 }
--- a/crates/bench/src/demo/job_result.rs
+++ b/crates/bench/src/demo/job_result.rs
@@ -1,8 +1,8 @@
-//! What became of one job of the demo.
+//! The result of one job of the demo.
 
 use {crate::site::HttpReply, serde_json::Value, std::time::Duration};
 
-/// How the answer to a submission is judged.
+/// Classification of the answer to a submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
     /// Every task completed, each with its own output.
@@ -11,33 +11,35 @@
     Failed,
     /// The job was refused, and nothing of it ran.
     Refused,
-    /// Nothing is claimed: another try is sensible.
+    /// The site was unavailable: the job may or may not run, and the caller may retry.
     Unavailable,
-    /// The answer lacks a task or holds an output of another task.
+    /// The answer lacks a task, contains the output of another task or has an
+    /// unexpected status.
     Broken,
-    /// No answer came.
+    /// No answer was received, or the job had not ended yet.
     Missing,
 }
 
-/// What became of one job of the demo.
+/// Result of one job of the demo.
 #[derive(Clone, Debug)]
 pub struct JobResult {
-    /// Position in the plan.
+    /// Index of the job in the plan.
     pub number: usize,
-    /// How the first submission was answered.
+    /// Verdict on the answer to the first submission.
     pub verdict: Verdict,
-    /// How the second submission was answered, where there was one.
+    /// Verdict on the answer to the resubmission; none where there was no
+    /// resubmission.
     pub again: Option<Verdict>,
-    /// Whether both submissions got the same answer.
+    /// False where both submissions were answered, with different answers.
     pub answers_agree: bool,
-    /// How long after its planned arrival the job was sent.
+    /// Delay between the planned arrival and the first submission.
     pub sent_late: Duration,
-    /// Time from the submission to its answer.
+    /// Time from the first submission to its answer.
     pub response_time: Duration,
 }
 
 impl Verdict {
-    /// Judges a reply to a job with that many tasks.
+    /// Classifies the reply to a job with `tasks` tasks.
     #[must_use]
     pub fn of(reply: &HttpReply, contract: &str, key: &str, tasks: usize) -> Self {
         match reply.status {
@@ -50,6 +52,7 @@
     }
 }
 
+/// Classifies the body of a reply with status 200.
 fn judge_answer(body: &Value, contract: &str, key: &str, tasks: usize) -> Verdict {
     let answers = body["tasks"].as_array().map_or(&[][..], Vec::as_slice);
     if answers.len() != tasks {
--- a/crates/bench/src/demo/judge.rs
+++ b/crates/bench/src/demo/judge.rs
@@ -1,4 +1,4 @@
-//! Judges by the endpoints' own logs what ran, and how often.
+//! Compares the answers with the start logs of the endpoints.
 
 use {
     crate::{
@@ -8,22 +8,24 @@
     indexmap::IndexMap,
 };
 
-/// What the endpoints' logs and the answers say together.
+/// Findings from the answers and the start logs of the endpoints.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Judgement {
-    /// Tasks that were submitted.
+    /// Number of submitted tasks.
     pub tasks: usize,
-    /// Tasks that started once.
+    /// Number of tasks that started exactly once.
     pub started_once: usize,
-    /// Tasks that started more than once.
+    /// Number of tasks that started more than once.
     pub started_twice: usize,
-    /// Most tasks that one endpoint ran at once.
+    /// Most tasks that any endpoint ran at once.
     pub most_at_once: u32,
-    /// What broke, one line each.
+    /// Descriptions of the broken promises, a line for each.
     pub broken: Vec<String>,
 }
 
-/// Judges the results of an opening by the endpoints' logs.
+/// Checks the results of an opening against the start logs of the endpoints.
+///
+/// `slots` is the number of slots of each endpoint.
 #[must_use]
 pub fn judge(opening: &Opening, results: &[JobResult], logs: &[StartLog], slots: u32) -> Judgement {
     let mut starts: IndexMap<String, usize> = IndexMap::new();
@@ -38,15 +40,17 @@
         broken: Vec::new(),
     };
     for (task, count) in starts.iter().filter(|(_, count)| **count > 1) {
-        judgement.broken(format!("{task} started {count} times"));
+        judgement.report(format!("{task} started {count} times"));
     }
     if judgement.most_at_once > slots {
         let most = judgement.most_at_once;
-        judgement.broken(format!("an endpoint with {slots} slots ran {most} at once"));
+        judgement.report(format!(
+            "an endpoint with {slots} slots ran {most} tasks at once"
+        ));
     }
     if results.len() != opening.jobs.len() {
         let missing = opening.jobs.len() - results.len();
-        judgement.broken(format!("{missing} jobs have no result"));
+        judgement.report(format!("{missing} jobs have no result"));
     }
     for result in results {
         judgement.judge_job(opening, result, &starts);
@@ -55,10 +59,11 @@
 }
 
 impl Judgement {
-    fn broken(&mut self, what: String) {
-        self.broken.push(what);
+    fn report(&mut self, violation: String) {
+        self.broken.push(violation);
     }
 
+    /// Checks the answers to one job.
     fn judge_job(
         &mut self,
         opening: &Opening,
@@ -72,20 +77,22 @@
             .count();
         match result.verdict {
             Verdict::Whole if started < job.run_times.len() => {
-                self.broken(format!("{name}: complete, but {started} tasks started"));
+                self.report(format!(
+                    "{name}: complete, but only {started} tasks started"
+                ));
             }
             Verdict::Refused if started > 0 && result.again.is_none() => {
-                self.broken(format!("{name}: not run, but {started} tasks started"));
+                self.report(format!("{name}: refused, but {started} tasks started"));
             }
-            Verdict::Broken => self.broken(format!("{name}: the answer is not its own or partial")),
-            Verdict::Missing => self.broken(format!("{name}: no answer")),
+            Verdict::Broken => self.report(format!("{name}: the answer is partial or not its own")),
+            Verdict::Missing => self.report(format!("{name}: no answer to the first submission")),
             _ => {}
         }
         if matches!(result.again, Some(Verdict::Broken | Verdict::Missing)) {
-            self.broken(format!("{name}: the resubmission got no whole answer"));
+            self.report(format!("{name}: the resubmission got no valid answer"));
         }
         if !result.answers_agree {
-            self.broken(format!("{name}: resubmission and first answer differ"));
+            self.report(format!("{name}: the answers to the two submissions differ"));
         }
     }
 }
--- a/crates/bench/src/demo/messages.rs
+++ b/crates/bench/src/demo/messages.rs
@@ -1,22 +1,22 @@
-//! Reads how many messages were sent from the processes' metrics.
+//! Counts the messages between the processes of a site, from their metrics.
 
 use {
     crate::site::{Site, SiteError},
     ntex::http::Method,
 };
 
-/// Messages that the processes of a site sent.
+/// Counts of the messages that the processes of a site have sent.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) struct Messages {
     /// Messages about jobs and tasks.
     pub(crate) work: u64,
-    /// Messages that keep links, ownership and configuration.
+    /// Messages that maintain links, ownership and configuration.
     pub(crate) upkeep: u64,
-    /// Messages that moved no task on.
+    /// Messages that did not advance any task.
     pub(crate) wasted: u64,
 }
 
-/// Kinds of messages that are sent without any work.
+/// Kinds of messages that are sent even when there are no jobs.
 const UPKEEP: [&str; 8] = [
     "configuration",
     "confirm",
@@ -29,7 +29,7 @@
 ];
 
 impl Messages {
-    /// Adds up the metrics of every entry and agent.
+    /// Reads and adds up the metrics of every entry and agent.
     pub(crate) async fn read(site: &Site) -> Result<Self, SiteError> {
         let mut sum = Self::default();
         let plan = &site.plan;
@@ -46,7 +46,7 @@
         Ok(sum)
     }
 
-    /// Returns the messages since an earlier reading.
+    /// Returns the messages sent since an earlier reading.
     pub(crate) fn since(self, earlier: Self) -> Self {
         Self {
             work: self.work - earlier.work,
--- a/crates/bench/src/demo/mod.rs
+++ b/crates/bench/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! The demo: a whole site and a market's opening.
+//! The demo: starts a whole site and sends it the load of a market's opening.
 
 mod arguments;
 mod cli_settings;
--- a/crates/bench/src/demo/opening.rs
+++ b/crates/bench/src/demo/opening.rs
@@ -1,4 +1,4 @@
-//! The plan of a market's opening: which job comes when.
+//! Plans the load of a market's opening: which job arrives when.
 
 use {
     crate::{
@@ -10,63 +10,63 @@
     std::time::Duration,
 };
 
-/// How long arrivals ask for half of the slots.
+/// End of the phase at half load, since the start of the opening.
 const HALF_LOAD_UNTIL: Duration = Duration::from_secs(8);
 
-/// How long arrivals come at the crest, after that.
-const CREST_UNTIL: Duration = Duration::from_secs(14);
+/// End of the peak that follows, since the start of the opening.
+const PEAK_UNTIL: Duration = Duration::from_secs(14);
 
-/// How long arrivals ebb, after the crest.
-const END: Duration = Duration::from_secs(20);
+/// End of the last phase and of all arrivals, since the start of the opening.
+const ARRIVALS_UNTIL: Duration = Duration::from_secs(20);
 
-/// Load before, at and after the crest, in percent of the slots.
+/// Load before, at and after the peak, in percent of all slots.
 const HALF_LOAD_PERCENT: u32 = 50;
-const CREST_PERCENT: u32 = 110;
-const EBB_PERCENT: u32 = 40;
+const PEAK_PERCENT: u32 = 110;
+const AFTER_PEAK_PERCENT: u32 = 40;
 
-/// Jobs that are resubmitted, in percent.
+/// Share of the jobs that are resubmitted, in percent.
 const RESUBMITTED_PERCENT: u32 = 10;
 
-/// How long after the first submission a resubmission comes at most.
-const LATEST_RESUBMISSION: Duration = Duration::from_secs(3);
+/// Longest time between the first submission and a resubmission.
+const RESUBMITTED_WITHIN: Duration = Duration::from_secs(3);
 
-/// A second submission of the same job.
+/// A planned second submission of the same job.
 #[derive(Clone, Copy, Debug)]
 pub struct Resubmission {
     /// Time after the first submission.
     pub after: Duration,
-    /// Entry that gets it.
+    /// Number of the entry that receives it.
     pub entry: u16,
 }
 
-/// One job of the opening.
+/// A planned job of the opening.
 #[derive(Clone, Debug)]
 pub struct PlannedJob {
-    /// Time after the beginning.
+    /// Arrival time since the start of the opening.
     pub at: Duration,
-    /// Whether it comes while half of the slots are asked for.
+    /// Whether it arrives in the phase at half load.
     pub at_half_load: bool,
     /// Kind of its tasks.
     pub kind: KindProfile,
-    /// The caller's key.
+    /// Key of the job, chosen by the caller.
     pub key: String,
-    /// Entry that gets it.
+    /// Number of the entry that receives it.
     pub entry: u16,
-    /// True run time of each task.
+    /// Run time of each task.
     pub run_times: Vec<Duration>,
-    /// Second submission, where there is one.
+    /// Second submission; none for most jobs.
     pub resubmission: Option<Resubmission>,
 }
 
-/// All jobs of the opening, in the order of their arrival.
+/// The planned load of a market's opening.
 #[derive(Clone, Debug)]
 pub struct Opening {
-    /// The jobs.
+    /// Planned jobs, sorted by arrival time.
     pub jobs: Vec<PlannedJob>,
 }
 
 impl Opening {
-    /// Plans the opening of a site with that many slots and entries.
+    /// Plans the opening of a site with `slots` slots in total and `entries` entries.
     #[must_use]
     pub fn plan(profile: &SiteProfile, slots: u32, entries: u16, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -80,24 +80,25 @@
 }
 
 impl PlannedJob {
-    /// Returns the job's time where nothing else asks for slots.
+    /// Returns the time that the job would take alone on the site: that of its
+    /// longest task.
     #[must_use]
     pub fn ideal(&self) -> Duration {
         self.run_times.iter().max().copied().unwrap_or_default()
     }
 
-    /// Returns the body of the submission.
+    /// Returns the JSON body of the submission.
     #[must_use]
     pub fn body(&self) -> Value {
         let tasks: Vec<Value> = self
             .run_times
             .iter()
-            .map(|run_time| self.task(*run_time))
+            .map(|run_time| self.task_body(*run_time))
             .collect();
         json!({ "tasks": tasks })
     }
 
-    fn task(&self, run_time: Duration) -> Value {
+    fn task_body(&self, run_time: Duration) -> Value {
         let run_ms = u64::try_from(run_time.as_millis()).unwrap_or_default();
         let input = RunInput {
             run_ms,
@@ -112,6 +113,7 @@
     }
 }
 
+/// Adds the jobs of one kind to `jobs`.
 fn plan_kind(
     jobs: &mut Vec<PlannedJob>,
     kind: &KindProfile,
@@ -121,13 +123,13 @@
 ) {
     let mut at = Duration::ZERO;
     loop {
-        let run_times = run_times(kind, rng);
+        let run_times = draw_run_times(kind, rng);
         let work: Duration = run_times.iter().sum();
-        let slots_asked = f64::from(slots * kind.percent_of_work * load_percent(at)) / 10_000.0;
-        // Exponential gaps make arrivals independent of one another.
+        let slots_wanted = f64::from(slots * kind.percent_of_work * load_percent(at)) / 10_000.0;
+        // Exponential gaps make the arrivals independent of one another.
         let gap = -rng.random::<f64>().max(f64::MIN_POSITIVE).ln();
-        at += work.mul_f64(gap / slots_asked);
-        if at >= END {
+        at += work.mul_f64(gap / slots_wanted);
+        if at >= ARRIVALS_UNTIL {
             return;
         }
         let entry = rng.random_range(0..entries);
@@ -138,12 +140,12 @@
             key: format!("{}-{}", kind.kind, jobs.len()),
             entry,
             run_times,
-            resubmission: resubmission(entry, entries, rng),
+            resubmission: draw_resubmission(entry, entries, rng),
         });
     }
 }
 
-fn run_times(kind: &KindProfile, rng: &mut impl Rng) -> Vec<Duration> {
+fn draw_run_times(kind: &KindProfile, rng: &mut impl Rng) -> Vec<Duration> {
     let count = rng.random_range(1..=kind.most_tasks);
     (0..count)
         .map(|_| rng.random_range(kind.shortest..=kind.longest))
@@ -154,19 +156,19 @@
 fn load_percent(at: Duration) -> u32 {
     if at < HALF_LOAD_UNTIL {
         HALF_LOAD_PERCENT
-    } else if at < CREST_UNTIL {
-        CREST_PERCENT
+    } else if at < PEAK_UNTIL {
+        PEAK_PERCENT
     } else {
-        EBB_PERCENT
+        AFTER_PEAK_PERCENT
     }
 }
 
-fn resubmission(first: u16, entries: u16, rng: &mut impl Rng) -> Option<Resubmission> {
+fn draw_resubmission(first: u16, entries: u16, rng: &mut impl Rng) -> Option<Resubmission> {
     if rng.random_range(0..100) >= RESUBMITTED_PERCENT {
         return None;
     }
     Some(Resubmission {
-        after: rng.random_range(Duration::ZERO..LATEST_RESUBMISSION),
+        after: rng.random_range(Duration::ZERO..RESUBMITTED_WITHIN),
         entry: (first + 1) % entries,
     })
 }
--- a/crates/bench/src/demo/progress.rs
+++ b/crates/bench/src/demo/progress.rs
@@ -1,4 +1,4 @@
-//! Shows how far the demo is.
+//! Shows the progress of the demo.
 
 use {
     crate::demo::{JobResult, Verdict},
@@ -9,21 +9,22 @@
     },
 };
 
-/// How often a line is written where there is no terminal.
+/// Interval between lines on standard error where it is not a terminal.
 const LINE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Shows how far the demo is.
+/// Shows how many jobs are answered, as a bar or as lines.
 #[derive(Debug)]
 pub(crate) struct Progress {
     bar: ProgressBar,
     jobs: usize,
     answered: usize,
-    not_whole: usize,
+    not_completed: usize,
+    /// When to write the next line; none on a terminal.
     next_line: Option<Instant>,
 }
 
 impl Progress {
-    /// Starts to show how many of that many jobs are answered.
+    /// Creates a progress display for `jobs` jobs.
     pub(crate) fn new(jobs: usize) -> Self {
         let bar = ProgressBar::new(u64::try_from(jobs).unwrap_or(u64::MAX));
         if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} jobs {msg}") {
@@ -34,30 +35,30 @@
             bar,
             jobs,
             answered: 0,
-            not_whole: 0,
+            not_completed: 0,
             next_line,
         }
     }
 
-    /// Notes one more answer.
-    pub(crate) fn answered(&mut self, result: &JobResult) {
+    /// Records one more answered job and updates the display.
+    pub(crate) fn record_answer(&mut self, result: &JobResult) {
         self.answered += 1;
         if result.verdict != Verdict::Whole {
-            self.not_whole += 1;
+            self.not_completed += 1;
             self.bar
-                .set_message(format!("{} not whole", self.not_whole));
+                .set_message(format!("{} not completed", self.not_completed));
         }
         self.bar.inc(1);
         if self.next_line.is_some_and(|at| Instant::now() >= at) {
             eprintln!(
-                "{}/{} jobs answered, {} not whole",
-                self.answered, self.jobs, self.not_whole
+                "{}/{} jobs answered, {} not completed",
+                self.answered, self.jobs, self.not_completed
             );
             self.next_line = Some(Instant::now() + LINE_INTERVAL);
         }
     }
 
-    /// Leaves the last state on the screen.
+    /// Stops updating and leaves the final state on the screen.
     pub(crate) fn close(self) {
         self.bar.finish();
     }
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! The report at the end of the demo.
+//! The report that the demo prints at its end.
 
 use {
     crate::demo::{
@@ -12,60 +12,63 @@
     },
 };
 
-/// Longest time that the report tells from longer ones, in microseconds.
+/// Upper limit of the histograms, in microseconds; longer times count as this.
 const LONGEST_MICROSECONDS: u64 = 600_000_000;
 
-/// Significant digits of the report's times.
+/// Significant decimal digits of the histograms.
 const PRECISION_DIGITS: u8 = 3;
 
-/// All that the report shows.
+/// Contents of the report.
 #[derive(Debug)]
 pub(crate) struct Report {
-    /// The plan.
+    /// Planned jobs.
     pub(crate) opening: Opening,
-    /// What became of each job.
+    /// Result of each job.
     pub(crate) results: Vec<JobResult>,
-    /// What the endpoints' logs say.
+    /// Findings from the answers and the endpoints' logs.
     pub(crate) judgement: Judgement,
-    /// Messages between the processes.
+    /// Messages that the processes sent during the opening.
     pub(crate) messages: Messages,
-    /// What each process used.
+    /// Memory and processor time of each process.
     pub(crate) usage: Vec<Usage>,
-    /// Times beyond the run time of runs sent straight to an endpoint.
+    /// Overheads of runs that were sent directly to an endpoint.
     pub(crate) endpoint_alone: Vec<Duration>,
-    /// Kinds of tasks.
+    /// Kinds of tasks that the callers sent.
     pub(crate) kinds: &'static [KindProfile],
 }
 
 impl Report {
+    /// Pairs each planned job with its result.
     fn jobs(&self) -> impl Iterator<Item = (&PlannedJob, &JobResult)> {
-        let job = |result: &JobResult| &self.opening.jobs[result.number];
-        self.results.iter().map(move |result| (job(result), result))
+        let planned = |result: &JobResult| &self.opening.jobs[result.number];
+        self.results
+            .iter()
+            .map(move |result| (planned(result), result))
     }
 
     fn count(&self, verdict: Verdict) -> usize {
         self.results.iter().filter(|r| r.verdict == verdict).count()
     }
 
-    fn show_counts(&self, f: &mut Formatter<'_>) -> fmt::Result {
+    fn write_counts(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let judgement = &self.judgement;
         let again = self.results.iter().filter(|r| r.again.is_some()).count();
         writeln!(f, "jobs                 {}", self.opening.jobs.len())?;
         writeln!(f, "  resubmitted        {again}, at another entry")?;
-        writeln!(f, "  answers whole      {}", self.count(Verdict::Whole))?;
+        writeln!(f, "  completed          {}", self.count(Verdict::Whole))?;
         writeln!(f, "  failed as a whole  {}", self.count(Verdict::Failed))?;
         writeln!(f, "  refused, not run   {}", self.count(Verdict::Refused))?;
         writeln!(
             f,
-            "  not available      {}",
+            "  unavailable        {}",
             self.count(Verdict::Unavailable)
         )?;
         writeln!(f, "tasks                {}", judgement.tasks)?;
         writeln!(f, "  started once       {}", judgement.started_once)?;
-        writeln!(f, "  started twice      {}", judgement.started_twice)
+        writeln!(f, "  started repeatedly {}", judgement.started_twice)
     }
 
-    fn show_times(&self, f: &mut Formatter<'_>) -> fmt::Result {
+    fn write_times(&self, f: &mut Formatter<'_>) -> fmt::Result {
         writeln!(f, "\nresponse time beyond the job's own run time, in ms")?;
         writeln!(
             f,
@@ -74,13 +77,13 @@
         )?;
         for kind in self.kinds {
             let of_kind = |job: &PlannedJob| job.kind.kind == kind.kind;
-            self.show_overhead(f, kind.kind, of_kind)?;
+            self.write_overhead(f, kind.kind, of_kind)?;
         }
-        self.show_overhead(f, "at half load", |job| job.at_half_load)?;
-        show_line(f, "endpoint alone", &self.endpoint_alone())?;
+        self.write_overhead(f, "at half load", |job| job.at_half_load)?;
+        write_line(f, "endpoint alone", &self.endpoint_alone())?;
         let late = self.histogram(|_| true, |_, result| result.sent_late.as_micros());
-        show_line(f, "sent late", &late)?;
-        writeln!(f, "\nresponse time as a multiple of the own run time")?;
+        write_line(f, "sent late", &late)?;
+        writeln!(f, "\nresponse time as a multiple of the job's own run time")?;
         writeln!(
             f,
             "  {:<16}{:>8}{:>10}{:>10}",
@@ -91,32 +94,34 @@
                 |job| job.kind.kind == kind.kind,
                 |job, result| 1_000 * result.response_time.as_micros() / job.ideal().as_micros(),
             );
-            show_line(f, kind.kind, &ratios)?;
+            write_line(f, kind.kind, &ratios)?;
         }
         Ok(())
     }
 
-    /// Shows what the endpoint's own timer adds, without the dispatcher.
+    /// Returns the overhead that the endpoint alone adds, without the dispatcher.
     fn endpoint_alone(&self) -> Histogram<u64> {
         let mut histogram = histogram();
-        for beyond in &self.endpoint_alone {
-            histogram.saturating_record(u64::try_from(beyond.as_micros()).unwrap_or(u64::MAX));
+        for overhead in &self.endpoint_alone {
+            histogram.saturating_record(u64::try_from(overhead.as_micros()).unwrap_or(u64::MAX));
         }
         histogram
     }
 
-    fn show_overhead(
+    /// Writes the response time beyond the run time of the chosen jobs.
+    fn write_overhead(
         &self,
         f: &mut Formatter<'_>,
         name: &str,
         is_chosen: impl Fn(&PlannedJob) -> bool,
     ) -> fmt::Result {
-        let beyond = |job: &PlannedJob, result: &JobResult| {
+        let overhead = |job: &PlannedJob, result: &JobResult| {
             result.response_time.saturating_sub(job.ideal()).as_micros()
         };
-        show_line(f, name, &self.histogram(is_chosen, beyond))
+        write_line(f, name, &self.histogram(is_chosen, overhead))
     }
 
+    /// Collects `value` of the chosen jobs that completed.
     fn histogram(
         &self,
         is_chosen: impl Fn(&PlannedJob) -> bool,
@@ -131,16 +136,19 @@
         histogram
     }
 
-    fn show_messages(&self, f: &mut Formatter<'_>) -> fmt::Result {
+    fn write_messages(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let tasks = self.judgement.tasks.max(1);
         let messages = self.messages;
-        let a_task = hundredths(messages.work, tasks);
-        writeln!(f, "\nmessages a task      {a_task}, resubmissions included")?;
+        let per_task = hundredths(messages.work, tasks);
+        writeln!(
+            f,
+            "\nmessages per task    {per_task}, resubmissions included"
+        )?;
         writeln!(f, "  wasted             {}", messages.wasted)?;
-        writeln!(f, "  upkeep             {} in all", messages.upkeep)
+        writeln!(f, "  upkeep             {} in total", messages.upkeep)
     }
 
-    fn show_usage(&self, f: &mut Formatter<'_>) -> fmt::Result {
+    fn write_usage(&self, f: &mut Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
             "\n{:<16}{:>12}{:>16}",
@@ -157,16 +165,16 @@
 
 impl Display for Report {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        self.show_counts(f)?;
-        self.show_times(f)?;
-        self.show_messages(f)?;
-        self.show_usage(f)?;
+        self.write_counts(f)?;
+        self.write_times(f)?;
+        self.write_messages(f)?;
+        self.write_usage(f)?;
         for broken in &self.judgement.broken {
             writeln!(f, "BROKEN: {broken}")?;
         }
         match self.judgement.broken.len() {
             0 => writeln!(f, "\nevery promise held"),
-            count => writeln!(f, "\n{count} promises broke"),
+            count => writeln!(f, "\n{count} promises were broken"),
         }
     }
 }
@@ -176,8 +184,9 @@
         .expect("the bounds of the histogram are valid")
 }
 
-fn show_line(f: &mut Formatter<'_>, name: &str, thousandths: &Histogram<u64>) -> fmt::Result {
-    let show = |value: u64| {
+/// Writes count, median and 99th percentile of values in thousandths.
+fn write_line(f: &mut Formatter<'_>, name: &str, thousandths: &Histogram<u64>) -> fmt::Result {
+    let format_value = |value: u64| {
         let length = Duration::from_micros(value);
         format!(
             "{}.{:02}",
@@ -185,8 +194,8 @@
             length.subsec_micros() % 1_000 / 10
         )
     };
-    let median = show(thousandths.value_at_quantile(0.5));
-    let p99 = show(thousandths.value_at_quantile(0.99));
+    let median = format_value(thousandths.value_at_quantile(0.5));
+    let p99 = format_value(thousandths.value_at_quantile(0.99));
     writeln!(
         f,
         "  {name:<16}{:>8}{median:>10}{p99:>10}",
@@ -194,7 +203,7 @@
     )
 }
 
-/// Divides and shows two digits after the point.
+/// Returns `value / by` with two decimal places.
 fn hundredths(value: u64, by: usize) -> String {
     let by = u64::try_from(by).unwrap_or(1);
     let whole = 100 * value / by;
--- a/crates/bench/src/demo/run_demo.rs
+++ b/crates/bench/src/demo/run_demo.rs
@@ -1,4 +1,4 @@
-//! Runs the demo.
+//! Entry point of the `demo` command.
 
 use {
     crate::{
@@ -15,10 +15,11 @@
     tokio::signal::unix::{Signal, SignalKind, signal},
 };
 
-/// Runs the demo; on Ctrl-C or SIGTERM it stops every process it started.
+/// Runs the demo and prints its report; on Ctrl-C or SIGTERM it stops every
+/// process that it started.
 ///
 /// # Errors
-/// Returns an error where the site does not come up, a promise broke or the
+/// Returns an error where the site does not start, a promise was broken or the
 /// demo was stopped before its report.
 pub async fn run(arguments: DemoArguments) -> io::Result<()> {
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -26,42 +27,45 @@
     let profile = SiteProfile::of(arguments.site);
     let plan = profile.plan().build();
     let folder = Site::folder_of(&plan);
-    // The processes end with the site, which the dropped future holds.
+    // The future owns the site; dropping it kills the processes.
     let ended = tokio::select! {
-        ended = show(plan, &profile, arguments.seed) => ended,
-        () = stopped(&mut interrupt, &mut terminate) => Err(io::Error::other("stopped")),
+        ended = run_opening(plan, &profile, arguments.seed) => ended,
+        () = wait_for_stop(&mut interrupt, &mut terminate) => {
+            Err(io::Error::other("stopped by a signal before the report"))
+        }
     };
     let verdict = match ended {
         Ok((site, broken)) => {
             if arguments.keep {
-                show_addresses(&site, &profile)?;
-                stopped(&mut interrupt, &mut terminate).await;
+                print_addresses(&site, &profile)?;
+                wait_for_stop(&mut interrupt, &mut terminate).await;
             }
             site.close();
             broken
         }
         Err(error) => Err(error),
     };
-    // Where the site never came up there is no folder.
+    // The folder is missing where the site never started.
     let _ = fs::remove_dir_all(folder);
     verdict
 }
 
-async fn stopped(interrupt: &mut Signal, terminate: &mut Signal) {
+/// Waits for Ctrl-C or SIGTERM.
+async fn wait_for_stop(interrupt: &mut Signal, terminate: &mut Signal) {
     tokio::select! {
         _ = interrupt.recv() => {}
         _ = terminate.recv() => {}
     }
 }
 
-/// Brings the site up and shows the report; returns the site, and an error
-/// where a promise broke.
-async fn show(
+/// Starts the site, sends the opening and prints the report; returns the site, and
+/// an error where a promise was broken.
+async fn run_opening(
     plan: SitePlan,
     profile: &SiteProfile,
     seed: u64,
 ) -> io::Result<(Site, io::Result<()>)> {
-    eprintln!("{}: bringing it up", profile.title);
+    eprintln!("{}: starting the site", profile.title);
     let begin = Instant::now();
     let site = Site::start(plan).await.map_err(io::Error::other)?;
     create_contracts(&site, profile)
@@ -73,11 +77,13 @@
         site.plan.endpoints(),
         begin.elapsed().as_millis()
     );
-    let report = open(&site, profile, seed).await.map_err(io::Error::other)?;
+    let report = send_and_judge(&site, profile, seed)
+        .await
+        .map_err(io::Error::other)?;
     println!("{report}");
     let verdict = match report.judgement.broken.len() {
         0 => Ok(()),
-        count => Err(io::Error::other(format!("{count} promises broke"))),
+        count => Err(io::Error::other(format!("{count} promises were broken"))),
     };
     Ok((site, verdict))
 }
@@ -95,7 +101,12 @@
     Ok(())
 }
 
-async fn open(site: &Site, profile: &SiteProfile, seed: u64) -> Result<Report, SiteError> {
+/// Sends the opening and collects the report.
+async fn send_and_judge(
+    site: &Site,
+    profile: &SiteProfile,
+    seed: u64,
+) -> Result<Report, SiteError> {
     let slots = site.plan.slots();
     let opening = Opening::plan(profile, slots, site.plan.entries(), seed);
     let before = Messages::read(site).await?;
@@ -117,6 +128,7 @@
     })
 }
 
+/// Reads the start log of an endpoint.
 async fn start_log(site: &Site, number: u16) -> Result<StartLog, SiteError> {
     let address = site.plan.endpoint(number);
     let reply = site
@@ -127,7 +139,8 @@
         .map_err(|e| SiteError::Answer("/starts".to_owned(), reply.status, e.to_string()))
 }
 
-fn show_addresses(site: &Site, profile: &SiteProfile) -> io::Result<()> {
+/// Prints the addresses and settings with which the running site can be used.
+fn print_addresses(site: &Site, profile: &SiteProfile) -> io::Result<()> {
     let settings = write_cli_settings(site, profile)?;
     println!("The site stays up until Ctrl-C.");
     for number in 0..site.plan.entries() {
--- a/crates/bench/src/demo/send_opening.rs
+++ b/crates/bench/src/demo/send_opening.rs
@@ -1,4 +1,5 @@
-//! Sends the opening: each job at its planned moment, whatever the site does.
+//! Sends each job of the opening at its planned time, whether or not earlier jobs
+//! are answered.
 
 use {
     crate::{
@@ -12,7 +13,7 @@
     },
 };
 
-/// Sends every job and waits for every answer.
+/// Sends every job and waits until each has an answer or has failed.
 pub(crate) async fn send_opening(
     client: &SiteClient,
     plan: &SitePlan,
@@ -22,39 +23,41 @@
     let sender = Rc::new(Sender {
         client: client.clone(),
         plan: plan.clone(),
-        begin: Instant::now(),
+        started_at: Instant::now(),
     });
     ntex::rt::spawn(send_all(sender, opening.jobs.clone(), tx));
     let mut progress = Progress::new(opening.jobs.len());
     let mut results = Vec::with_capacity(opening.jobs.len());
     while let Some(result) = rx.recv().await {
-        progress.answered(&result);
+        progress.record_answer(&result);
         results.push(result);
     }
     progress.close();
     results
 }
 
+/// Client of the site, and the time from which arrivals are counted.
 struct Sender {
     client: SiteClient,
     plan: SitePlan,
-    begin: Instant,
+    started_at: Instant,
 }
 
 async fn send_all(sender: Rc<Sender>, jobs: Vec<PlannedJob>, tx: UnboundedSender<JobResult>) {
     for (number, job) in jobs.into_iter().enumerate() {
-        sleep_until((sender.begin + job.at).into()).await;
+        sleep_until((sender.started_at + job.at).into()).await;
         let sender = sender.clone();
         let tx = tx.clone();
         ntex::rt::spawn(async move {
             let result = sender.send_job(number, &job).await;
-            // The receiver stays until the last sender is gone.
+            // The receiver exists until the last sender is dropped.
             let _ = tx.send(result);
         });
     }
 }
 
 impl Sender {
+    /// Submits the job, and resubmits it where that is planned.
     async fn send_job(&self, number: usize, job: &PlannedJob) -> JobResult {
         let sent_at = Instant::now();
         let first = async {
@@ -77,11 +80,12 @@
             verdict: verdict(job, reply.as_ref()),
             again: again.map(|reply| verdict(job, reply.as_ref())),
             answers_agree,
-            sent_late: sent_at.saturating_duration_since(self.begin + job.at),
+            sent_late: sent_at.saturating_duration_since(self.started_at + job.at),
             response_time,
         }
     }
 
+    /// Submits the job to an entry; none where no reply is received.
     async fn submit(&self, job: &PlannedJob, entry: u16) -> Option<HttpReply> {
         let callers = self.plan.callers(entry);
         let contract = job.kind.contract;
--- a/crates/bench/src/demo/site_profile.rs
+++ b/crates/bench/src/demo/site_profile.rs
@@ -1,4 +1,4 @@
-//! What each site is made of and what its callers send.
+//! Zones and load of the sites that the demo can start.
 
 use {
     crate::{
@@ -11,15 +11,15 @@
     },
 };
 
-/// Address of the demo's site; it never changes, so that examples work.
+/// Loopback address of the demo's site; fixed, so that documented examples work.
 const DEMO_IP: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 77, 1));
 
-/// One kind of task and the contract that sends it.
+/// A kind of task and the contract that submits it.
 #[derive(Clone, Copy, Debug)]
 pub struct KindProfile {
     /// Name of the kind.
     pub kind: &'static str,
-    /// Contract that sends it.
+    /// Contract that submits tasks of the kind.
     pub contract: &'static str,
     /// Urgency of the contract.
     pub urgency: u8,
@@ -29,20 +29,20 @@
     pub longest: Duration,
     /// Most tasks of one job.
     pub most_tasks: u16,
-    /// Whether a second run would do no harm.
+    /// Whether a task may safely run more than once.
     pub idempotent: bool,
-    /// Part of the run time that is asked for, in percent.
+    /// Share of the kind in the total run time of all tasks, in percent.
     pub percent_of_work: u32,
 }
 
-/// What a site is made of and what its callers send.
+/// Zones of a site and the load that its callers send.
 #[derive(Clone, Debug)]
 pub struct SiteProfile {
-    /// Name, for people.
+    /// Name that the demo prints.
     pub title: &'static str,
-    /// Availability zones.
+    /// Names of the availability zones.
     pub zones: &'static [&'static str],
-    /// Kinds of tasks.
+    /// Kinds of tasks that the callers send.
     pub kinds: &'static [KindProfile],
 }
 
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Starts to plan the site at its real size, on a fixed address.
+    /// Returns a builder for the site at its default size, on the fixed address.
     #[must_use]
     pub fn plan(&self) -> SitePlanBuilder {
         SitePlan::builder()
--- a/crates/bench/src/demo/usage.rs
+++ b/crates/bench/src/demo/usage.rs
@@ -1,18 +1,18 @@
-//! Memory and processor time of a site's processes.
+//! Reads memory and processor time of the processes of a site.
 
 use crate::site::{ProcessUsage, Site, SiteProcess};
 
-/// What one process used.
+/// Memory and processor time of one process.
 #[derive(Clone, Debug)]
 pub(crate) struct Usage {
     /// Name of the process.
     pub(crate) process: String,
-    /// What it used since its start.
+    /// Usage since the start of the process.
     pub(crate) used: ProcessUsage,
 }
 
 impl Usage {
-    /// Reads what every process of a site used so far.
+    /// Reads the usage of every process of a site.
     pub(crate) fn of_site(site: &Site) -> Vec<Self> {
         let processes = site.entries.iter().chain(&site.agents);
         processes
