--- a/crates/bench/src/observation/mod.rs
+++ b/crates/bench/src/observation/mod.rs
@@ -1,4 +1,4 @@
-//! What observation costs each task.
+//! Measures the cost that events and metrics add to each task.
 
 mod run_observation;
 
--- a/crates/bench/src/observation/run_observation.rs
+++ b/crates/bench/src/observation/run_observation.rs
@@ -1,4 +1,4 @@
-//! Times events and metrics in a loop.
+//! Entry point of the `observation` command.
 
 use {
     chestnutrun_observe::{EventKind, Metrics, Timeline},
@@ -9,13 +9,13 @@
     },
 };
 
-/// How often each thing is done.
+/// Number of repetitions of each measured operation.
 const ROUNDS: u32 = 1_000_000;
 
-/// Times events and metrics, and prints what each costs.
+/// Measures the mean time to record an event and metrics, and prints it.
 ///
 /// # Errors
-/// Returns an error where metrics cannot be kept.
+/// Returns an error where the metrics cannot be registered.
 pub fn run() -> io::Result<()> {
     let metrics = Metrics::new().map_err(io::Error::other)?;
     let mut timeline = Timeline::new("process");
@@ -25,26 +25,27 @@
         key: "job".into(),
     };
     let task = job.task(0);
-    let event = time(|| {
+    let event = mean_time(|| {
         let at = SystemTime::now();
         timeline.task(at, EventKind::Started, &task, &endpoint, "");
     });
-    let message = time(|| metrics.sent("agent", "start"));
-    let stopwatch = time(|| metrics.time_run().close("completed"));
-    show("an event of a task", event);
-    show("a counted message", message);
-    show("a timed run", stopwatch);
+    let message = mean_time(|| metrics.sent("agent", "start"));
+    let stopwatch = mean_time(|| metrics.time_run().close("completed"));
+    print_cost("an event of a task", event);
+    print_cost("a counted message", message);
+    print_cost("a timed run", stopwatch);
     Ok(())
 }
 
-fn time(mut work: impl FnMut()) -> Duration {
-    let begin = Instant::now();
+/// Returns the mean time of one call of `work`.
+fn mean_time(mut work: impl FnMut()) -> Duration {
+    let started_at = Instant::now();
     for _ in 0..ROUNDS {
         work();
     }
-    begin.elapsed() / ROUNDS
+    started_at.elapsed() / ROUNDS
 }
 
-fn show(what: &str, each: Duration) {
-    println!("{what:<20} {} ns", each.as_nanos());
+fn print_cost(operation: &str, each: Duration) {
+    println!("{operation:<20} {} ns", each.as_nanos());
 }
--- a/crates/bench/src/slopes/arguments.rs
+++ b/crates/bench/src/slopes/arguments.rs
@@ -1,14 +1,14 @@
-//! Arguments of the measurement.
+//! Command-line arguments of `chestnutrun-bench slopes`.
 
 use bpaf::Bpaf;
 
-/// Arguments of the measurement.
+/// Command-line arguments of the `slopes` command.
 #[derive(Bpaf, Clone, Debug)]
 pub struct SlopesArguments {
-    /// Seconds that each step is measured for.
+    /// Duration of each measurement, in seconds.
     #[bpaf(argument("SECONDS"), fallback(10), display_fallback)]
     pub seconds: u64,
-    /// Most endpoints of a site.
+    /// Number of endpoints of the largest site.
     #[bpaf(argument("COUNT"), fallback(60), display_fallback)]
     pub most_endpoints: u16,
 }
--- a/crates/bench/src/slopes/frame_sizes.rs
+++ b/crates/bench/src/slopes/frame_sizes.rs
@@ -1,4 +1,4 @@
-//! Sizes of encoded messages.
+//! Prints the sizes of encoded messages.
 
 use {
     chestnutrun_protocol::{Message, encode},
@@ -12,13 +12,13 @@
 /// Length of the inputs and outputs of the sample tasks, in bytes.
 const PAYLOAD_BYTES: usize = 100;
 
-/// Tasks of the sample job.
+/// Number of tasks of the sample job.
 const JOB_TASKS: usize = 20;
 
-/// Jobs of the sample list of records.
+/// Number of recorded jobs in the sample fence reply.
 const RECORDED_JOBS: u64 = 1_000;
 
-/// Prints the sizes of messages that are sent often.
+/// Prints the encoded size of a sample of each frequent message.
 pub(crate) fn print() {
     println!("frames, in bytes (inputs and outputs of {PAYLOAD_BYTES} bytes)");
     for (name, message) in samples() {
--- a/crates/bench/src/slopes/idle_cost.rs
+++ b/crates/bench/src/slopes/idle_cost.rs
@@ -1,4 +1,4 @@
-//! Cost of a site without work, by its number of agents.
+//! Measures the processor time and memory of an idle site.
 
 use {
     crate::{
@@ -9,28 +9,28 @@
     tokio::time::sleep,
 };
 
-/// How long a site may settle before it is measured.
-const SETTLE: Duration = Duration::from_secs(2);
+/// Time after the start of a site before it is measured.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// Cost of a site without work.
+/// Cost of an idle site.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IdleCost {
-    /// Agents of the site.
+    /// Number of agents of the site.
     pub(crate) agents: u16,
-    /// Mean of its entries.
+    /// Mean usage of its entries.
     pub(crate) entry: Usage,
-    /// Mean of its agents.
+    /// Mean usage of its agents.
     pub(crate) agent: Usage,
 }
 
-/// Measures a site of `agents` agents and 3 entries.
+/// Measures an idle site of `agents` agents and 3 entries for `seconds` seconds.
 pub(crate) async fn measure(agents: u16, seconds: u64) -> Result<IdleCost, SiteError> {
     let plan = SitePlan::builder()
         .endpoints(agents)
         .log_level("warn")
         .build();
     let site = Site::start(plan).await?;
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let entries = samples(&site.entries);
     let agent_samples = samples(&site.agents);
     sleep(Duration::from_secs(seconds)).await;
@@ -43,12 +43,12 @@
     Ok(cost)
 }
 
-/// Samples each process.
+/// Takes a sample of each process.
 pub(crate) fn samples(processes: &[SiteProcess]) -> Vec<Sample> {
     processes.iter().map(Sample::take).collect()
 }
 
-/// Returns what each process used since its sample.
+/// Returns the usage of each process since its sample in `since`.
 pub(crate) fn used(since: &[Sample], processes: &[SiteProcess]) -> Vec<Usage> {
     let ends = samples(processes);
     since
--- a/crates/bench/src/slopes/load_cost.rs
+++ b/crates/bench/src/slopes/load_cost.rs
@@ -1,11 +1,11 @@
-//! Cost of a task on the real path, by the role of the process.
+//! Measures the cost of a task on real processes, by the role of the process.
 
 use {
     crate::{
         site::{Site, SiteError, SitePlan},
         slopes::{
             idle_cost::{samples, used},
-            usage::{Usage, count},
+            usage::{Usage, as_f64},
         },
     },
     serde_json::json,
@@ -17,37 +17,38 @@
     tokio::sync::mpsc::channel,
 };
 
-/// Endpoints of the measured site.
+/// Number of endpoints of the measured site.
 const ENDPOINTS: u16 = 20;
 
-/// Callers that submit one job after another.
+/// Number of concurrent callers; each submits its jobs one after another.
 const CALLERS: u16 = 24;
 
-/// How long the load runs before it is measured.
+/// Time under load before the measurement begins.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// Cost of tasks on the real path.
+/// Cost of tasks on real processes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadCost {
-    /// Tasks of each job.
+    /// Number of tasks in each job.
     pub(crate) job_tasks: u16,
-    /// Tasks that ended, a second.
+    /// Tasks that ended per second.
     pub(crate) tasks_per_second: f64,
-    /// Jobs that ended while it was measured.
+    /// Jobs that ended during the measurement.
     pub(crate) jobs: f64,
-    /// Tasks that ended while it was measured.
+    /// Tasks that ended during the measurement.
     pub(crate) tasks: f64,
-    /// The entry that owns the shard.
+    /// Usage of the entry that owns the shard.
     pub(crate) owner: Usage,
-    /// Sum of the other entries.
-    pub(crate) fronts_seconds: f64,
-    /// Sum of the agents.
+    /// Processor time of all other entries, in seconds.
+    pub(crate) other_entries_seconds: f64,
+    /// Processor time of all agents, in seconds.
     pub(crate) agents_seconds: f64,
-    /// Growth of all agents' memory, in kilobytes.
-    pub(crate) agents_grown: f64,
+    /// Growth of the resident memory of all agents, in kilobytes.
+    pub(crate) agents_grown_kilobytes: f64,
 }
 
-/// Loads a site with jobs of `job_tasks` tasks of 5 ms through every entry.
+/// Measures a site for `seconds` seconds while callers submit jobs of `job_tasks`
+/// tasks of 5 ms through every entry.
 pub(crate) async fn measure(job_tasks: u16, seconds: u64) -> Result<LoadCost, SiteError> {
     let plan = SitePlan::builder()
         .endpoints(ENDPOINTS)
@@ -74,14 +75,14 @@
     tokio::time::sleep(WARM_UP).await;
     let (entries, agents) = (samples(&site.entries), samples(&site.agents));
     let (jobs_before, begin) = (jobs.get(), Instant::now());
-    // The channel closes when the last caller is done.
+    // The channel closes when the last caller has ended.
     let _ = all_done.recv().await;
     let elapsed = begin.elapsed().as_secs_f64();
-    let jobs = count(jobs.get() - jobs_before);
+    let jobs = as_f64(jobs.get() - jobs_before);
     let tasks = jobs * f64::from(job_tasks);
     let entries = used(&entries, &site.entries);
     let agents = used(&agents, &site.agents);
-    let owner = owner(&site).await;
+    let owner = find_owner(&site).await;
     let all_entries: f64 = entries.iter().map(|u| u.processor_seconds).sum();
     let cost = LoadCost {
         job_tasks,
@@ -89,9 +90,9 @@
         jobs,
         tasks,
         owner: entries[owner],
-        fronts_seconds: all_entries - entries[owner].processor_seconds,
+        other_entries_seconds: all_entries - entries[owner].processor_seconds,
         agents_seconds: agents.iter().map(|u| u.processor_seconds).sum(),
-        agents_grown: agents.iter().map(|u| u.grown_kilobytes).sum(),
+        agents_grown_kilobytes: agents.iter().map(|u| u.grown_kilobytes).sum(),
     };
     if let Ok(site) = Rc::try_unwrap(site) {
         site.close();
@@ -99,6 +100,7 @@
     Ok(cost)
 }
 
+/// Submits jobs until `end` and counts those that were answered in `jobs`.
 async fn submit_until(site: &Site, caller: u16, job_tasks: u16, end: Instant, jobs: &Cell<u64>) {
     let task = json!({"kind": "short", "declared_run_time": "5ms", "input": "{\"run_ms\":5}"});
     let body = json!({"tasks": vec![task; usize::from(job_tasks)]});
@@ -114,7 +116,8 @@
     }
 }
 
-async fn owner(site: &Site) -> usize {
+/// Returns the number of the entry that owns the shard; 0 where none is found.
+async fn find_owner(site: &Site) -> usize {
     for number in 0..site.plan.entries() {
         let status = site.status(number).await;
         let shards = status["shards"].as_array().map_or(0, Vec::len);
--- a/crates/bench/src/slopes/mod.rs
+++ b/crates/bench/src/slopes/mod.rs
@@ -1,4 +1,6 @@
-//! Measures how the cost of each role grows, for the sums of the capacity page.
+//! Measures how the cost of each process role grows with the site and its load.
+//!
+//! The capacity page calculates with these figures.
 
 mod arguments;
 mod frame_sizes;
--- a/crates/bench/src/slopes/run_slopes.rs
+++ b/crates/bench/src/slopes/run_slopes.rs
@@ -1,4 +1,4 @@
-//! Runs every measurement and prints what it saw.
+//! Entry point of the `slopes` command.
 
 use {
     crate::slopes::{
@@ -9,13 +9,13 @@
     std::io,
 };
 
-/// Tasks of each job, in the measurements under load.
+/// Number of tasks in each job, for each measurement under load.
 const JOB_SIZES: [u16; 3] = [1, 20, 170];
 
-/// Runs every measurement and prints what it saw.
+/// Runs all measurements and prints their results.
 ///
 /// # Errors
-/// Returns an error where a site does not come up.
+/// Returns an error where a site does not start.
 pub async fn run(arguments: SlopesArguments) -> io::Result<()> {
     frame_sizes::print();
     println!("idle, 3 entries, {} s", arguments.seconds);
@@ -57,9 +57,9 @@
         cost.job_tasks,
         cost.tasks_per_second,
         us_per_task(cost.owner.processor_seconds),
-        us_per_task(cost.fronts_seconds),
+        us_per_task(cost.other_entries_seconds),
         us_per_task(cost.agents_seconds),
         1e3 * cost.owner.grown_kilobytes / cost.jobs,
-        1e3 * cost.agents_grown / cost.tasks,
+        1e3 * cost.agents_grown_kilobytes / cost.tasks,
     );
 }
--- a/crates/bench/src/slopes/usage.rs
+++ b/crates/bench/src/slopes/usage.rs
@@ -1,21 +1,21 @@
-//! Processor time and memory of a process between two moments.
+//! Measures the processor time and memory of a process between two samples.
 
 use {
     crate::site::{ProcessUsage, SiteProcess},
     std::time::{Duration, Instant},
 };
 
-/// What a process had used at one moment.
+/// Usage of a process since its start, with the time of the reading.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sample {
     at: Instant,
     used: ProcessUsage,
 }
 
-/// What a process used between two moments.
+/// Usage of a process between two samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Usage {
-    /// Share of one core, in percent.
+    /// Processor time as a share of one core, in percent.
     pub(crate) core_percent: f64,
     /// Processor time, in seconds.
     pub(crate) processor_seconds: f64,
@@ -26,7 +26,7 @@
 }
 
 impl Sample {
-    /// Samples a process.
+    /// Reads the current usage of a process.
     pub(crate) fn take(process: &SiteProcess) -> Self {
         Self {
             at: Instant::now(),
@@ -34,36 +34,36 @@
         }
     }
 
-    /// Returns what was used from `self` to `end`.
+    /// Returns the usage between `self` and the later sample `end`.
     pub(crate) fn until(self, end: Self) -> Usage {
         let seconds = end.at.duration_since(self.at).max(Duration::from_millis(1));
         let processor = end.used.processor.saturating_sub(self.used.processor);
         let processor_seconds = processor.as_secs_f64();
-        let kilobytes = count(end.used.memory_kilobytes);
+        let kilobytes = as_f64(end.used.memory_kilobytes);
         Usage {
             core_percent: 100.0 * processor_seconds / seconds.as_secs_f64(),
             processor_seconds,
             kilobytes,
-            grown_kilobytes: kilobytes - count(self.used.memory_kilobytes),
+            grown_kilobytes: kilobytes - as_f64(self.used.memory_kilobytes),
         }
     }
 }
 
-/// Returns the mean of the usages.
+/// Returns the mean of each value; zeros where `usages` is empty.
 pub(crate) fn mean(usages: &[Usage]) -> Usage {
-    let of = |part: fn(&Usage) -> f64| {
-        usages.iter().map(part).sum::<f64>() / count(usages.len() as u64).max(1.0)
+    let mean_of = |part: fn(&Usage) -> f64| {
+        usages.iter().map(part).sum::<f64>() / as_f64(usages.len() as u64).max(1.0)
     };
     Usage {
-        core_percent: of(|u| u.core_percent),
-        processor_seconds: of(|u| u.processor_seconds),
-        kilobytes: of(|u| u.kilobytes),
-        grown_kilobytes: of(|u| u.grown_kilobytes),
+        core_percent: mean_of(|u| u.core_percent),
+        processor_seconds: mean_of(|u| u.processor_seconds),
+        kilobytes: mean_of(|u| u.kilobytes),
+        grown_kilobytes: mean_of(|u| u.grown_kilobytes),
     }
 }
 
-/// Makes a number of a count; counts of the bench are small enough.
+/// Converts a count to a floating-point number.
 #[allow(clippy::cast_precision_loss)] // counts stay far below 2^52
-pub(crate) fn count(of: u64) -> f64 {
-    of as f64
+pub(crate) fn as_f64(count: u64) -> f64 {
+    count as f64
 }
