--- a/crates/bench/benches/decisions.rs
+++ b/crates/bench/benches/decisions.rs
@@ -1,4 +1,5 @@
-//! Cost of admission, placement, start and answer of one task together.
+//! Benchmarks the decision code of an owner: a task from submission to answer,
+//! and a tick without work.
 
 use {
     chestnutrun_decisions::{
@@ -13,23 +14,23 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// Endpoints, contracts and records of a benchmark.
+/// Number of endpoints, contracts and recorded jobs of a benchmark.
 type Size = (u32, u32, u64);
 
-/// Tasks that run while one is measured.
-const RUNNING: usize = 7;
+/// Number of other tasks that run while one is measured.
+const RUNNING_TASKS: usize = 7;
 
-/// Tasks between two confirmations of the ownership.
-const CONFIRMED_EVERY: u64 = 1_000;
+/// Number of tasks between two confirmations of the ownership.
+const CONFIRMATION_INTERVAL: u64 = 1_000;
 
-/// Time between tasks.
-const STEP: Duration = Duration::from_micros(100);
+/// Simulated time between submissions.
+const SUBMIT_INTERVAL: Duration = Duration::from_micros(100);
 
 fn main() {
     divan::main();
 }
 
-/// An owner with fake agents that answer at once.
+/// An owner machine with simulated agents that answer immediately.
 struct Bench {
     machine: OwnerMachine,
     contracts: u32,
@@ -62,16 +63,16 @@
             .machine
             .handle(now, OwnerInput::OwnershipConfirmed(now.instant));
         for number in 0..endpoints {
-            bench.link(number);
+            bench.link_agent(number);
         }
         bench.machine.handle(now, OwnerInput::Tick);
         for _ in 0..records {
-            bench.task();
+            bench.run_task();
         }
         bench
     }
 
-    fn link(&mut self, number: u32) {
+    fn link_agent(&mut self, number: u32) {
         let endpoint: chestnutrun_types::EndpointId = format!("endpoint-{number}").into();
         let hello = AgentHello {
             endpoint: endpoint.clone(),
@@ -94,17 +95,18 @@
             .handle(self.now, OwnerInput::AgentLease(endpoint, Some(1)));
     }
 
-    /// Submits a job of one task and ends the oldest that runs.
-    fn task(&mut self) {
-        self.now = self.now.later(STEP);
-        if self.submitted.is_multiple_of(CONFIRMED_EVERY) {
+    /// Submits a job of one task; ends the oldest running task once more than
+    /// `RUNNING_TASKS` run.
+    fn run_task(&mut self) {
+        self.now = self.now.later(SUBMIT_INTERVAL);
+        if self.submitted.is_multiple_of(CONFIRMATION_INTERVAL) {
             self.machine
                 .handle(self.now, OwnerInput::OwnershipConfirmed(self.now.instant));
         }
-        let submit = self.submission();
+        let submit = self.next_submission();
         let input = OwnerInput::Request("entry-0".into(), Request::Submit(submit));
         self.handle(input);
-        if self.running.len() > RUNNING {
+        if self.running.len() > RUNNING_TASKS {
             self.end_oldest();
         }
     }
@@ -129,7 +131,7 @@
         }
     }
 
-    fn submission(&mut self) -> Submit {
+    fn next_submission(&mut self) -> Submit {
         self.submitted += 1;
         let contract = self.submitted % u64::from(self.contracts);
         let task = TaskSpec {
@@ -155,7 +157,7 @@
     }
 }
 
-/// A new site has no agents with records.
+/// Returns the agents known from an earlier owner: none, as the site is new.
 fn no_agents() -> KnownAgents {
     KnownAgents {
         runs: Vec::new(),
@@ -179,7 +181,7 @@
     })
 }
 
-/// One task, from submission to answer.
+/// Measures one task: submission, admission, placement, start and answer.
 #[divan::bench(args = [
     (1, 3, 1_000), (10, 3, 1_000), (100, 3, 1_000), (1_000, 3, 1_000),
     (100, 61, 1_000), (100, 1_000, 1_000), (100, 61, 1_000_000),
@@ -187,10 +189,10 @@
 ])]
 fn task(bencher: Bencher, size: Size) {
     let mut bench = Bench::new(size);
-    bencher.bench_local(|| bench.task());
+    bencher.bench_local(|| bench.run_task());
 }
 
-/// A tick with nothing to do.
+/// Measures a tick with nothing to do.
 #[divan::bench(args = [(10, 3, 1_000), (1_000, 61, 1_000), (1_000, 61, 1_000_000)])]
 fn tick(bencher: Bencher, size: Size) {
     let mut bench = Bench::new(size);
--- a/crates/bench/build.rs
+++ b/crates/bench/build.rs
@@ -1,4 +1,4 @@
-//! Builds the tests again when a scenario is added or removed.
+//! Rebuilds the tests when a scenario is added or removed.
 
 fn main() {
     println!("cargo::rerun-if-changed=tests/scenarios");
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the systems around the dispatcher, a launcher that brings up
-//! whole sites on loopback, and the tools that measure them.
+//! Stand-ins for the systems around the dispatcher, a launcher that starts whole
+//! sites on loopback, and tools that measure them.
 //!
-//! Nothing here is linked into what ships.
+//! The crate is for tests and measurements; the shipped programs do not link it.
 
 pub mod demo;
 pub mod experiment;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins, demo and experiments of chestnutrun.
+//! The program `chestnutrun-bench`: stand-ins, demo and measurements.
 
 use {
     bpaf::Bpaf,
@@ -13,37 +13,37 @@
     std::{net::SocketAddr, process::ExitCode},
 };
 
-/// Stand-ins, demo and experiments of chestnutrun.
+/// Runs the stand-ins, the demo and the measurements of chestnutrun.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, version, generate(command))]
 enum Command {
-    /// Stands in for the platform's table.
+    /// Runs a stand-in for the platform's table.
     #[bpaf(command)]
     Table {
         /// Address to listen on.
         #[bpaf(argument("ADDRESS"))]
         listen: SocketAddr,
     },
-    /// Stands in for an endpoint.
+    /// Runs a stand-in for an endpoint.
     #[bpaf(command)]
     Endpoint {
         /// Address to listen on.
         #[bpaf(argument("ADDRESS"))]
         listen: SocketAddr,
-        /// Slots of the endpoint.
+        /// Number of slots of the endpoint.
         #[bpaf(argument("COUNT"))]
         slots: u32,
     },
-    /// Brings up a whole site and sends it a market's opening.
+    /// Starts a whole site and sends it the load of a market's opening.
     #[bpaf(command)]
     Demo(#[bpaf(external(demo::demo_arguments))] DemoArguments),
-    /// Compares policies on the same arrivals.
+    /// Compares placement policies on the same arrivals.
     #[bpaf(command)]
     Experiment(#[bpaf(external(experiment::experiment_arguments))] ExperimentArguments),
-    /// Measures what observation costs each task.
+    /// Measures the cost that events and metrics add to each task.
     #[bpaf(command)]
     Observation,
-    /// Measures how the cost of each role grows.
+    /// Measures how the cost of each process role grows with the site and its load.
     #[bpaf(command)]
     Slopes(#[bpaf(external(slopes::slopes_arguments))] SlopesArguments),
 }
@@ -51,7 +51,7 @@
 fn main() -> ExitCode {
     let command = command().run();
     let system = System::new("bench", DefaultRuntime);
-    let ended = system.block_on(async move {
+    let result = system.block_on(async move {
         match command {
             Command::Table { listen } => table::run(listen).await,
             Command::Endpoint { listen, slots } => endpoint::run(listen, slots).await,
@@ -61,7 +61,7 @@
             Command::Slopes(arguments) => slopes::run(arguments).await,
         }
     });
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("chestnutrun-bench: {error}");
