--- a/crates/bench/src/demo/run_demo.rs
+++ b/crates/bench/src/demo/run_demo.rs
@@ -34,20 +34,20 @@
             Err(io::Error::other("stopped by a signal before the report"))
         }
     };
-    let verdict = match ended {
-        Ok((site, broken)) => {
+    let outcome = match ended {
+        Ok((site, outcome)) => {
             if arguments.keep {
                 print_addresses(&site, &profile)?;
                 wait_for_stop(&mut interrupt, &mut terminate).await;
             }
             site.close();
-            broken
+            outcome
         }
         Err(error) => Err(error),
     };
     // The folder is missing where the site never started.
     let _ = fs::remove_dir_all(folder);
-    verdict
+    outcome
 }
 
 /// Waits for Ctrl-C or SIGTERM.
@@ -81,11 +81,11 @@
         .await
         .map_err(io::Error::other)?;
     println!("{report}");
-    let verdict = match report.judgement.broken.len() {
+    let outcome = match report.judgement.broken.len() {
         0 => Ok(()),
         count => Err(io::Error::other(format!("{count} promises were broken"))),
     };
-    Ok((site, verdict))
+    Ok((site, outcome))
 }
 
 async fn create_contracts(site: &Site, profile: &SiteProfile) -> Result<(), SiteError> {
--- a/crates/bench/src/experiment/arrivals.rs
+++ b/crates/bench/src/experiment/arrivals.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ArrivingTask {
     /// Index into the mix of the contract.
-    pub part: usize,
+    pub mix_index: usize,
     /// Time for which the task occupies a slot.
     pub run_time: Duration,
     /// Run time that the caller declares; may differ from `run_time`.
@@ -55,7 +55,9 @@
         Variant::Alone(name) => {
             for arrival in &mut selected {
                 let mix = &conf.contracts[arrival.contract].mix;
-                arrival.tasks.retain(|task| mix[task.part].name == *name);
+                arrival
+                    .tasks
+                    .retain(|task| mix[task.mix_index].name == *name);
             }
             selected.retain(|arrival| !arrival.tasks.is_empty());
         }
@@ -99,11 +101,11 @@
 
 /// Returns the jobs per second that give the contract's load without bursts.
 fn base_job_rate(conf: &ExperimentConf, contract: &ContractConf) -> f64 {
-    let parts: f64 = contract.mix.iter().map(|part| part.part).sum();
+    let total_share: f64 = contract.mix.iter().map(|class| class.share).sum();
     let work: f64 = contract
         .mix
         .iter()
-        .map(|part| part.part / parts * part.mean().as_secs_f64())
+        .map(|class| class.share / total_share * class.mean().as_secs_f64())
         .sum();
     let slots = contract.load * f64::from(conf.site.all_slots());
     slots / (work * f64::from(contract.tasks_per_job))
@@ -125,12 +127,12 @@
 }
 
 fn draw_task(contract: &ContractConf, rng: &mut StdRng) -> ArrivingTask {
-    let parts: f64 = contract.mix.iter().map(|part| part.part).sum();
-    let mut remaining = rng.random::<f64>() * parts;
+    let total_share: f64 = contract.mix.iter().map(|class| class.share).sum();
+    let mut remaining = rng.random::<f64>() * total_share;
     let mut chosen = 0;
-    for (number, part) in contract.mix.iter().enumerate() {
+    for (number, class) in contract.mix.iter().enumerate() {
         chosen = number;
-        remaining -= part.part;
+        remaining -= class.share;
         if remaining < 0.0 {
             break;
         }
@@ -139,13 +141,13 @@
     let max_log_error = contract.declared_wrong_by.max(1.0).ln();
     let factor = ((rng.random::<f64>() * 2.0 - 1.0) * max_log_error).exp();
     ArrivingTask {
-        part: chosen,
+        mix_index: chosen,
         run_time,
         declared: run_time.mul_f64(factor),
     }
 }
 
-fn draw_run_time(part: &MixConf, rng: &mut StdRng) -> Duration {
-    let range = part.longest.saturating_sub(part.shortest);
-    part.shortest + range.mul_f64(rng.random())
+fn draw_run_time(class: &MixConf, rng: &mut StdRng) -> Duration {
+    let range = class.longest.saturating_sub(class.shortest);
+    class.shortest + range.mul_f64(rng.random())
 }
--- a/crates/bench/src/experiment/decisions_run.rs
+++ b/crates/bench/src/experiment/decisions_run.rs
@@ -191,7 +191,7 @@
         let contract = &self.conf.contracts[arrival.contract];
         let knows_run_times = self.contestant == Contestant::Ideal;
         let tasks = arrival.tasks.iter().map(|task| TaskSpec {
-            kind: contract.mix[task.part].kind.as_str().into(),
+            kind: contract.mix[task.mix_index].kind.as_str().into(),
             declared_run_time: if knows_run_times {
                 task.run_time
             } else {
@@ -318,7 +318,7 @@
                     self.measures.record_completion(
                         self.conf,
                         arrival.contract,
-                        task.part,
+                        task.mix_index,
                         arrival.at,
                         at.saturating_sub(arrival.at),
                         task.run_time,
--- a/crates/bench/src/experiment/experiment_conf.rs
+++ b/crates/bench/src/experiment/experiment_conf.rs
@@ -104,7 +104,8 @@
     /// Task kind to submit.
     pub kind: String,
     /// Share of the contract's tasks, relative to the other classes.
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub share: f64,
     /// Shortest run time.
     #[serde(with = "humantime_serde")]
     pub shortest: Duration,
--- a/crates/bench/src/experiment/measures.rs
+++ b/crates/bench/src/experiment/measures.rs
@@ -92,7 +92,7 @@
         &mut self,
         conf: &ExperimentConf,
         contract: usize,
-        part: usize,
+        mix_index: usize,
         at: Duration,
         response: Duration,
         run_time: Duration,
@@ -101,7 +101,7 @@
         for window in windows(conf, at) {
             let key = (
                 contract.name.clone(),
-                contract.mix[part].name.clone(),
+                contract.mix[mix_index].name.clone(),
                 window,
             );
             self.groups
@@ -151,7 +151,7 @@
 
     /// Returns the fraction that was busy while at least one task waited.
     #[must_use]
-    pub fn busy_waiting_part(&self) -> f64 {
+    pub fn busy_waiting_fraction(&self) -> f64 {
         self.busy_waiting / self.slots_waiting.max(f64::EPSILON)
     }
 }
--- a/crates/bench/src/experiment/plots.rs
+++ b/crates/bench/src/experiment/plots.rs
@@ -52,10 +52,10 @@
         .filter_map(|(policy, variant, measures)| {
             let responses = measures.groups.get(key)?;
             let points = (0..=POINTS).map(|i| {
-                let part = f64::from(i) / f64::from(POINTS) * 0.999;
-                let micros = responses.response.value_at_quantile(part);
+                let quantile = f64::from(i) / f64::from(POINTS) * 0.999;
+                let micros = responses.response.value_at_quantile(quantile);
                 let response = std::time::Duration::from_micros(micros.max(1));
-                (part * 100.0, response.as_secs_f64() * 1_000.0)
+                (quantile * 100.0, response.as_secs_f64() * 1_000.0)
             });
             let name = match variant {
                 Variant::Full => policy.to_string(),
--- a/crates/bench/src/experiment/real_run.rs
+++ b/crates/bench/src/experiment/real_run.rs
@@ -81,7 +81,7 @@
             let micros = u64::try_from(task.declared.as_micros()).unwrap_or(u64::MAX);
             let run_ms = u64::try_from(task.run_time.as_millis()).unwrap_or(u64::MAX);
             json!({
-                "kind": contract.mix[task.part].kind,
+                "kind": contract.mix[task.mix_index].kind,
                 "declared_run_time": format!("{micros}us"),
                 "input": json!({ "run_ms": run_ms }).to_string(),
             })
@@ -126,7 +126,7 @@
             measures.record_completion(
                 &self.conf,
                 arrival.contract,
-                longest.part,
+                longest.mix_index,
                 arrival.at,
                 response,
                 longest.run_time,
--- a/crates/bench/src/experiment/report.rs
+++ b/crates/bench/src/experiment/report.rs
@@ -94,7 +94,7 @@
             policy,
             variant,
             busy: measures.busy_part(),
-            busy_while_waiting: measures.busy_waiting_part(),
+            busy_while_waiting: measures.busy_waiting_fraction(),
             most_waiting: measures.most_waiting,
             tasks: measures.tasks,
             failures: measures.failures.clone(),
