--- a/crates/bench/src/experiment/decisions_run.rs
+++ b/crates/bench/src/experiment/decisions_run.rs
@@ -4,7 +4,7 @@
 
 use {
     crate::experiment::{
-        Arrival, Contestant, ExperimentConf, FakeSlots, FaultKind, Measures, RunningTask,
+        Arrival, ExperimentConf, FakeSlots, FaultKind, Measures, PolicyKind, RunningTask,
     },
     chestnutrun_decisions::owner::{
         AgentOrder, OwnerAction, OwnerConf, OwnerInput, OwnerMachine, Request, Takeover,
@@ -41,7 +41,7 @@
 pub struct DecisionsRun<'a> {
     conf: &'a ExperimentConf,
     arrivals: &'a [Arrival],
-    contestant: Contestant,
+    policy_kind: PolicyKind,
     machine: OwnerMachine,
     slots: FakeSlots,
     started_at: Now,
@@ -56,12 +56,12 @@
 }
 
 impl<'a> DecisionsRun<'a> {
-    /// Creates a run of `arrivals` under the policy `contestant`.
+    /// Creates a run of `arrivals` under the policy `policy_kind`.
     #[must_use]
     pub fn new(
         conf: &'a ExperimentConf,
         arrivals: &'a [Arrival],
-        contestant: Contestant,
+        policy_kind: PolicyKind,
         seed: u64,
     ) -> Self {
         let now = Now {
@@ -74,7 +74,7 @@
             me: "entry-0".into(),
         };
         let takeover = Takeover::new(now.instant, no_agents());
-        let policy = contestant.policy(seed);
+        let policy = policy_kind.policy(seed);
         let machine = OwnerMachine::new(owner, configuration(conf), policy, takeover);
         let seconds = usize::try_from(conf.length.as_secs()).unwrap_or_default();
         let measures = Measures {
@@ -84,7 +84,7 @@
         Self {
             conf,
             arrivals,
-            contestant,
+            policy_kind,
             machine,
             slots: FakeSlots::new(conf.contracts.len()),
             started_at: now,
@@ -189,7 +189,7 @@
     fn submit(&mut self, number: usize) {
         let arrival = &self.arrivals[number];
         let contract = &self.conf.contracts[arrival.contract];
-        let knows_run_times = self.contestant == Contestant::Ideal;
+        let knows_run_times = self.policy_kind == PolicyKind::Ideal;
         let tasks = arrival.tasks.iter().map(|task| TaskSpec {
             kind: contract.mix[task.mix_index].kind.as_str().into(),
             declared_run_time: if knows_run_times {
--- a/crates/bench/src/experiment/experiment_conf.rs
+++ b/crates/bench/src/experiment/experiment_conf.rs
@@ -1,7 +1,7 @@
 //! The settings of an experiment.
 
 use {
-    crate::experiment::Contestant,
+    crate::experiment::PolicyKind,
     chestnutrun_types::Overflow,
     serde::{Deserialize, Serialize},
     std::time::Duration,
@@ -24,7 +24,7 @@
     /// Seeds of the arrivals, with one run for each.
     pub seeds: Vec<u64>,
     /// Policies to compare.
-    pub policies: Vec<Contestant>,
+    pub policies: Vec<PolicyKind>,
     /// The contracts and their demand.
     pub contracts: Vec<ContractConf>,
     /// Faults that are injected.
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -2,13 +2,13 @@
 
 mod arguments;
 mod arrivals;
-mod contestant;
 mod decisions_run;
 mod experiment_conf;
 mod fake_slots;
 mod ideal;
 mod measures;
 mod plots;
+mod policy_kind;
 mod real_run;
 mod report;
 mod run_experiment;
@@ -17,7 +17,6 @@
 pub use {
     arguments::{ExperimentArguments, experiment_arguments},
     arrivals::{Arrival, ArrivingTask, arrivals, select},
-    contestant::Contestant,
     decisions_run::DecisionsRun,
     experiment_conf::{
         BurstConf, CancelConf, ContractConf, ExperimentConf, FaultConf, FaultKind, MixConf,
@@ -26,6 +25,7 @@
     fake_slots::{FakeSlots, RunningTask},
     ideal::Ideal,
     measures::{GroupKey, Measures, ResponseTimes, Window},
+    policy_kind::PolicyKind,
     real_run::RealRun,
     report::{GroupReport, Report, RunReport},
     run_experiment::run,
--- a/crates/bench/src/experiment/plots.rs
+++ b/crates/bench/src/experiment/plots.rs
@@ -1,7 +1,7 @@
 //! Draws the plots of an experiment.
 
 use {
-    crate::experiment::{Contestant, GroupKey, Measures, Variant, Window},
+    crate::experiment::{GroupKey, Measures, PolicyKind, Variant, Window},
     plotters::prelude::*,
     std::{
         error::Error,
@@ -16,7 +16,7 @@
 const POINTS: u32 = 400;
 
 /// A policy, a variant of the arrivals, and their measurements.
-pub type MeasuredRun = (Contestant, Variant, Measures);
+pub type MeasuredRun = (PolicyKind, Variant, Measures);
 
 /// Writes one SVG plot for each group of tasks: the response time by percentile,
 /// with a curve for each policy and variant. Returns the paths of the plots.
--- a/crates/bench/src/experiment/contestant.rs
+++ b/crates/bench/src/experiment/policy_kind.rs
@@ -13,7 +13,7 @@
 /// A placement policy that an experiment can compare.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Contestant {
+pub enum PolicyKind {
     /// First come, first served.
     FirstCome,
     /// Shortest of all waiting tasks first, with the true run times known.
@@ -28,7 +28,7 @@
     StaticShares,
 }
 
-impl Contestant {
+impl PolicyKind {
     /// Creates the policy; `seed` is used only where it chooses at random.
     #[must_use]
     pub fn policy(self, seed: u64) -> Box<dyn Policy> {
@@ -59,7 +59,7 @@
     }
 }
 
-impl fmt::Display for Contestant {
+impl fmt::Display for PolicyKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.pad(self.name())
     }
--- a/crates/bench/src/experiment/real_run.rs
+++ b/crates/bench/src/experiment/real_run.rs
@@ -5,7 +5,7 @@
 use {
     crate::{
         experiment::{
-            Arrival, Contestant, ExperimentConf, FaultConf, FaultKind, Measures,
+            Arrival, ExperimentConf, FaultConf, FaultKind, Measures, PolicyKind,
             site_messages::messages,
         },
         site::{Site, SiteError, SitePlan},
@@ -40,9 +40,9 @@
     pub async fn run(
         conf: &ExperimentConf,
         arrivals: Vec<Arrival>,
-        contestant: Contestant,
+        policy_kind: PolicyKind,
     ) -> Result<Measures, SiteError> {
-        let site = Rc::new(start_site(conf, contestant).await?);
+        let site = Rc::new(start_site(conf, policy_kind).await?);
         let messages_before = messages(&site).await;
         let run = Rc::new(Self {
             conf: conf.clone(),
@@ -175,12 +175,12 @@
     }
 }
 
-async fn start_site(conf: &ExperimentConf, contestant: Contestant) -> Result<Site, SiteError> {
+async fn start_site(conf: &ExperimentConf, policy_kind: PolicyKind) -> Result<Site, SiteError> {
     let plan = SitePlan::builder()
         .entries(conf.site.entries)
         .endpoints(conf.site.endpoints)
         .slots(conf.site.slots)
-        .policy(contestant.name())
+        .policy(policy_kind.name())
         .log_level("warn")
         .build();
     let site = Site::start(plan).await?;
--- a/crates/bench/src/experiment/report.rs
+++ b/crates/bench/src/experiment/report.rs
@@ -1,7 +1,7 @@
 //! The report of an experiment, as a table for the terminal and as JSON.
 
 use {
-    crate::experiment::{Contestant, Measures, Variant, Window},
+    crate::experiment::{Measures, PolicyKind, Variant, Window},
     hdrhistogram::Histogram,
     indexmap::IndexMap,
     serde::Serialize,
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct RunReport {
     /// Policy of the run.
-    pub policy: Contestant,
+    pub policy: PolicyKind,
     /// Arrivals of the run.
     pub variant: Variant,
     /// Fraction of the slots that was busy.
@@ -77,7 +77,7 @@
 impl RunReport {
     /// Creates the report of a run from its measurements.
     #[must_use]
-    pub fn new(policy: Contestant, variant: Variant, measures: &Measures) -> Self {
+    pub fn new(policy: PolicyKind, variant: Variant, measures: &Measures) -> Self {
         let groups = measures.groups.iter().map(|(key, responses)| GroupReport {
             contract: key.0.clone(),
             name: key.1.clone(),
--- a/crates/bench/src/experiment/run_experiment.rs
+++ b/crates/bench/src/experiment/run_experiment.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::experiment::{
-        Contestant, DecisionsRun, ExperimentArguments, ExperimentConf, Measures, RealRun, Report,
+        DecisionsRun, ExperimentArguments, ExperimentConf, Measures, PolicyKind, RealRun, Report,
         RunReport, Variant, arrivals, plots, select,
     },
     std::{fs, io, path::Path},
@@ -45,7 +45,7 @@
 async fn run_all(conf: &ExperimentConf, real: bool) -> io::Result<Vec<plots::MeasuredRun>> {
     let mut runs = Vec::new();
     for policy in &conf.policies {
-        if real && *policy == Contestant::Ideal {
+        if real && *policy == PolicyKind::Ideal {
             continue;
         }
         for variant in variants(conf) {
--- a/crates/bench/tests/experiment.rs
+++ b/crates/bench/tests/experiment.rs
@@ -2,14 +2,14 @@
 
 use {
     chestnutrun_bench::experiment::{
-        Contestant, DecisionsRun, ExperimentConf, Measures, Variant, arrivals, select,
+        DecisionsRun, ExperimentConf, Measures, PolicyKind, Variant, arrivals, select,
     },
     rstest::rstest,
 };
 
 const HEAD_OF_LINE: &str = include_str!("../experiments/head-of-line.yaml");
 
-fn run(policy: Contestant, variant: &Variant) -> Measures {
+fn run(policy: PolicyKind, variant: &Variant) -> Measures {
     let mut conf: ExperimentConf = serde_saphyr::from_str(HEAD_OF_LINE).expect("it is valid");
     conf.length /= 5;
     conf.warm_up /= 5;
@@ -25,9 +25,9 @@
 
 #[rstest]
 fn short_tasks_are_not_held_up_by_long_ones() {
-    let alone = run(Contestant::SizeAware, &Variant::Alone("check".to_owned()));
-    let with_long = run(Contestant::SizeAware, &Variant::Full);
-    let first_come = run(Contestant::FirstCome, &Variant::Full);
+    let alone = run(PolicyKind::SizeAware, &Variant::Alone("check".to_owned()));
+    let with_long = run(PolicyKind::SizeAware, &Variant::Full);
+    let first_come = run(PolicyKind::FirstCome, &Variant::Full);
     assert!(p99_of_checks(&with_long) * 2 <= p99_of_checks(&alone) * 3);
     assert!(with_long.busy_part() >= 0.95 * first_come.busy_part());
 }
