--- a/crates/bench/src/experiment/arrivals.rs
+++ b/crates/bench/src/experiment/arrivals.rs
@@ -35,7 +35,7 @@
 /// Each contract has its own random generator, so its arrivals do not depend on
 /// the other contracts.
 #[must_use]
-pub fn arrivals(conf: &ExperimentConf, seed: u64) -> Vec<Arrival> {
+pub fn generate_arrivals(conf: &ExperimentConf, seed: u64) -> Vec<Arrival> {
     let mut all = Vec::new();
     for (number, contract) in conf.contracts.iter().enumerate() {
         let mut rng = StdRng::seed_from_u64(seed.wrapping_mul(1_000) + number as u64);
