--- a/crates/bench/src/experiment/arrivals.rs
+++ b/crates/bench/src/experiment/arrivals.rs
@@ -47,7 +47,7 @@
 
 /// Returns the arrivals that belong to `variant`.
 #[must_use]
-pub fn select(conf: &ExperimentConf, all: &[Arrival], variant: &Variant) -> Vec<Arrival> {
+pub fn select_arrivals(conf: &ExperimentConf, all: &[Arrival], variant: &Variant) -> Vec<Arrival> {
     let mut selected = all.to_vec();
     match variant {
         Variant::Full => {}
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -16,7 +16,7 @@
 
 pub use {
     arguments::{ExperimentArguments, experiment_arguments},
-    arrivals::{Arrival, ArrivingTask, generate_arrivals, select},
+    arrivals::{Arrival, ArrivingTask, generate_arrivals, select_arrivals},
     decisions_run::DecisionsRun,
     experiment_conf::{
         BurstConf, CancelConf, ContractConf, ExperimentConf, FaultConf, FaultKind, MixConf,
--- a/crates/bench/src/experiment/run_experiment.rs
+++ b/crates/bench/src/experiment/run_experiment.rs
@@ -3,7 +3,7 @@
 use {
     crate::experiment::{
         DecisionsRun, ExperimentArguments, ExperimentConf, Measures, PolicyKind, RealRun, Report,
-        RunReport, Variant, generate_arrivals, plots, select,
+        RunReport, Variant, generate_arrivals, plots, select_arrivals,
     },
     std::{fs, io, path::Path},
 };
@@ -52,7 +52,7 @@
             let mut measures = Measures::default();
             for seed in &conf.seeds {
                 let all_arrivals = generate_arrivals(conf, *seed);
-                let selected = select(conf, &all_arrivals, &variant);
+                let selected = select_arrivals(conf, &all_arrivals, &variant);
                 let run_measures = if real {
                     let run = RealRun::run(conf, selected, *policy).await;
                     run.map_err(io::Error::other)?
--- a/crates/bench/tests/experiment.rs
+++ b/crates/bench/tests/experiment.rs
@@ -2,7 +2,8 @@
 
 use {
     chestnutrun_bench::experiment::{
-        DecisionsRun, ExperimentConf, Measures, PolicyKind, Variant, generate_arrivals, select,
+        DecisionsRun, ExperimentConf, Measures, PolicyKind, Variant, generate_arrivals,
+        select_arrivals,
     },
     rstest::rstest,
 };
@@ -13,7 +14,7 @@
     let mut conf: ExperimentConf = serde_saphyr::from_str(HEAD_OF_LINE).expect("it is valid");
     conf.length /= 5;
     conf.warm_up /= 5;
-    let selected = select(&conf, &generate_arrivals(&conf, 1), variant);
+    let selected = select_arrivals(&conf, &generate_arrivals(&conf, 1), variant);
     DecisionsRun::new(&conf, &selected, policy, 1).run()
 }
 
