--- a/crates/bench/src/experiment/measures.rs
+++ b/crates/bench/src/experiment/measures.rs
@@ -145,7 +145,7 @@
 
     /// Returns the fraction of available slot-seconds that was busy.
     #[must_use]
-    pub fn busy_part(&self) -> f64 {
+    pub fn busy_fraction(&self) -> f64 {
         self.busy / self.slots.max(f64::EPSILON)
     }
 
--- a/crates/bench/src/experiment/report.rs
+++ b/crates/bench/src/experiment/report.rs
@@ -93,7 +93,7 @@
         Self {
             policy,
             variant,
-            busy: measures.busy_part(),
+            busy: measures.busy_fraction(),
             busy_while_waiting: measures.busy_waiting_fraction(),
             most_waiting: measures.most_waiting,
             tasks: measures.tasks,
--- a/crates/bench/tests/experiment.rs
+++ b/crates/bench/tests/experiment.rs
@@ -30,5 +30,5 @@
     let with_long = run(PolicyKind::SizeAware, &Variant::Full);
     let first_come = run(PolicyKind::FirstCome, &Variant::Full);
     assert!(p99_of_checks(&with_long) * 2 <= p99_of_checks(&alone) * 3);
-    assert!(with_long.busy_part() >= 0.95 * first_come.busy_part());
+    assert!(with_long.busy_fraction() >= 0.95 * first_come.busy_fraction());
 }
