--- a/crates/bench/src/demo/job_result.rs
+++ b/crates/bench/src/demo/job_result.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
     /// Every task completed, each with its own output.
-    Whole,
+    Completed,
     /// The whole job is reported as failed.
     Failed,
     /// The job was refused, and nothing of it ran.
@@ -66,7 +66,7 @@
         answer["outcome"] == "completed" && answer["output"] == output
     };
     if body["status"] == "complete" && answers.iter().enumerate().all(is_own) {
-        Verdict::Whole
+        Verdict::Completed
     } else {
         Verdict::Broken
     }
--- a/crates/bench/src/demo/judge.rs
+++ b/crates/bench/src/demo/judge.rs
@@ -76,7 +76,7 @@
             .filter(|index| starts.contains_key(&format!("{name}#{index}")))
             .count();
         match result.verdict {
-            Verdict::Whole if started < job.run_times.len() => {
+            Verdict::Completed if started < job.run_times.len() => {
                 self.report(format!(
                     "{name}: complete, but only {started} tasks started"
                 ));
--- a/crates/bench/src/demo/progress.rs
+++ b/crates/bench/src/demo/progress.rs
@@ -43,7 +43,7 @@
     /// Records one more answered job and updates the display.
     pub(crate) fn record_answer(&mut self, result: &JobResult) {
         self.answered += 1;
-        if result.verdict != Verdict::Whole {
+        if result.verdict != Verdict::Completed {
             self.not_completed += 1;
             self.bar
                 .set_message(format!("{} not completed", self.not_completed));
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -55,7 +55,7 @@
         let again = self.results.iter().filter(|r| r.again.is_some()).count();
         writeln!(f, "jobs                 {}", self.opening.jobs.len())?;
         writeln!(f, "  resubmitted        {again}, at another entry")?;
-        writeln!(f, "  completed          {}", self.count(Verdict::Whole))?;
+        writeln!(f, "  completed          {}", self.count(Verdict::Completed))?;
         writeln!(f, "  failed as a whole  {}", self.count(Verdict::Failed))?;
         writeln!(f, "  refused, not run   {}", self.count(Verdict::Refused))?;
         writeln!(
@@ -128,7 +128,7 @@
         value: impl Fn(&PlannedJob, &JobResult) -> u128,
     ) -> Histogram<u64> {
         let mut histogram = histogram();
-        let whole = self.jobs().filter(|(_, r)| r.verdict == Verdict::Whole);
+        let whole = self.jobs().filter(|(_, r)| r.verdict == Verdict::Completed);
         for (job, result) in whole.filter(|(job, _)| is_chosen(job)) {
             let value = u64::try_from(value(job, result)).unwrap_or(u64::MAX);
             histogram.saturating_record(value);
--- a/crates/bench/tests/demo.rs
+++ b/crates/bench/tests/demo.rs
@@ -48,9 +48,9 @@
 }
 
 #[rstest]
-#[case::whole(Verdict::Whole, 1, 0)]
+#[case::whole(Verdict::Completed, 1, 0)]
 #[case::refused(Verdict::Refused, 0, 0)]
-#[case::complete_without_a_start(Verdict::Whole, 0, 1)]
+#[case::complete_without_a_start(Verdict::Completed, 0, 1)]
 #[case::refused_but_started(Verdict::Refused, 1, 1)]
 #[case::partial(Verdict::Broken, 1, 1)]
 #[case::no_answer(Verdict::Missing, 1, 1)]
@@ -69,7 +69,7 @@
 fn a_second_start_at_another_endpoint_is_found() {
     let opening = opening();
     let logs = [log(&opening, 1), log(&opening, 1)];
-    let judgement = judge(&opening, &[result(Verdict::Whole)], &logs, SLOTS);
+    let judgement = judge(&opening, &[result(Verdict::Completed)], &logs, SLOTS);
     assert_eq!(judgement.started_twice, opening.jobs[0].run_times.len());
     assert_eq!(judgement.broken.len(), judgement.started_twice);
 }
@@ -79,7 +79,7 @@
     let opening = opening();
     let mut log = log(&opening, 1);
     log.most_at_once = SLOTS + 1;
-    let judgement = judge(&opening, &[result(Verdict::Whole)], &[log], SLOTS);
+    let judgement = judge(&opening, &[result(Verdict::Completed)], &[log], SLOTS);
     assert_eq!(judgement.broken.len(), 1);
 }
 
