--- a/crates/bench/src/demo/job_result.rs
+++ b/crates/bench/src/demo/job_result.rs
@@ -15,7 +15,7 @@
     Unavailable,
     /// The answer lacks a task, contains the output of another task or has an
     /// unexpected status.
-    Broken,
+    Invalid,
     /// No answer was received, or the job had not ended yet.
     Missing,
 }
@@ -47,7 +47,7 @@
             202 => Self::Missing,
             _ if reply.body["not_run"] == true => Self::Refused,
             503 => Self::Unavailable,
-            _ => Self::Broken,
+            _ => Self::Invalid,
         }
     }
 }
@@ -56,7 +56,7 @@
 fn judge_answer(body: &Value, contract: &str, key: &str, tasks: usize) -> Verdict {
     let answers = body["tasks"].as_array().map_or(&[][..], Vec::as_slice);
     if answers.len() != tasks {
-        return Verdict::Broken;
+        return Verdict::Invalid;
     }
     if body["status"] == "failed" {
         return Verdict::Failed;
@@ -68,6 +68,6 @@
     if body["status"] == "complete" && answers.iter().enumerate().all(is_own) {
         Verdict::Completed
     } else {
-        Verdict::Broken
+        Verdict::Invalid
     }
 }
--- a/crates/bench/src/demo/judge.rs
+++ b/crates/bench/src/demo/judge.rs
@@ -84,11 +84,13 @@
             Verdict::Refused if started > 0 && result.again.is_none() => {
                 self.report(format!("{name}: refused, but {started} tasks started"));
             }
-            Verdict::Broken => self.report(format!("{name}: the answer is partial or not its own")),
+            Verdict::Invalid => {
+                self.report(format!("{name}: the answer is partial or not its own"))
+            }
             Verdict::Missing => self.report(format!("{name}: no answer to the first submission")),
             _ => {}
         }
-        if matches!(result.again, Some(Verdict::Broken | Verdict::Missing)) {
+        if matches!(result.again, Some(Verdict::Invalid | Verdict::Missing)) {
             self.report(format!("{name}: the resubmission got no valid answer"));
         }
         if !result.answers_agree {
--- a/crates/bench/tests/demo.rs
+++ b/crates/bench/tests/demo.rs
@@ -52,7 +52,7 @@
 #[case::refused(Verdict::Refused, 0, 0)]
 #[case::complete_without_a_start(Verdict::Completed, 0, 1)]
 #[case::refused_but_started(Verdict::Refused, 1, 1)]
-#[case::partial(Verdict::Broken, 1, 1)]
+#[case::partial(Verdict::Invalid, 1, 1)]
 #[case::no_answer(Verdict::Missing, 1, 1)]
 fn a_broken_promise_is_found(
     #[case] verdict: Verdict,
