--- a/crates/bench/src/demo/judge.rs
+++ b/crates/bench/src/demo/judge.rs
@@ -20,7 +20,7 @@
     /// Most tasks that any endpoint ran at once.
     pub most_at_once: u32,
     /// Descriptions of the broken promises, a line for each.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// Checks the results of an opening against the start logs of the endpoints.
@@ -37,7 +37,7 @@
         started_once: starts.values().filter(|count| **count == 1).count(),
         started_twice: starts.values().filter(|count| **count > 1).count(),
         most_at_once: logs.iter().map(|log| log.most_at_once).max().unwrap_or(0),
-        broken: Vec::new(),
+        violations: Vec::new(),
     };
     for (task, count) in starts.iter().filter(|(_, count)| **count > 1) {
         judgement.report(format!("{task} started {count} times"));
@@ -60,7 +60,7 @@
 
 impl Judgement {
     fn report(&mut self, violation: String) {
-        self.broken.push(violation);
+        self.violations.push(violation);
     }
 
     /// Checks the answers to one job.
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -169,10 +169,10 @@
         self.write_times(f)?;
         self.write_messages(f)?;
         self.write_usage(f)?;
-        for broken in &self.judgement.broken {
-            writeln!(f, "BROKEN: {broken}")?;
+        for violation in &self.judgement.violations {
+            writeln!(f, "BROKEN: {violation}")?;
         }
-        match self.judgement.broken.len() {
+        match self.judgement.violations.len() {
             0 => writeln!(f, "\nevery promise held"),
             count => writeln!(f, "\n{count} promises were broken"),
         }
--- a/crates/bench/src/demo/run_demo.rs
+++ b/crates/bench/src/demo/run_demo.rs
@@ -81,7 +81,7 @@
         .await
         .map_err(io::Error::other)?;
     println!("{report}");
-    let outcome = match report.judgement.broken.len() {
+    let outcome = match report.judgement.violations.len() {
         0 => Ok(()),
         count => Err(io::Error::other(format!("{count} promises were broken"))),
     };
--- a/crates/bench/tests/demo.rs
+++ b/crates/bench/tests/demo.rs
@@ -62,7 +62,12 @@
     let opening = opening();
     let logs = [log(&opening, starts)];
     let judgement = judge(&opening, &[result(verdict)], &logs, SLOTS);
-    assert_eq!(judgement.broken.len(), broken, "{:?}", judgement.broken);
+    assert_eq!(
+        judgement.violations.len(),
+        broken,
+        "{:?}",
+        judgement.violations
+    );
 }
 
 #[rstest]
@@ -71,7 +76,7 @@
     let logs = [log(&opening, 1), log(&opening, 1)];
     let judgement = judge(&opening, &[result(Verdict::Completed)], &logs, SLOTS);
     assert_eq!(judgement.started_twice, opening.jobs[0].run_times.len());
-    assert_eq!(judgement.broken.len(), judgement.started_twice);
+    assert_eq!(judgement.violations.len(), judgement.started_twice);
 }
 
 #[rstest]
@@ -80,7 +85,7 @@
     let mut log = log(&opening, 1);
     log.most_at_once = SLOTS + 1;
     let judgement = judge(&opening, &[result(Verdict::Completed)], &[log], SLOTS);
-    assert_eq!(judgement.broken.len(), 1);
+    assert_eq!(judgement.violations.len(), 1);
 }
 
 #[rstest]
