--- a/crates/bench/src/demo/judge.rs
+++ b/crates/bench/src/demo/judge.rs
@@ -16,7 +16,7 @@
     /// Number of tasks that started exactly once.
     pub started_once: usize,
     /// Number of tasks that started more than once.
-    pub started_twice: usize,
+    pub started_repeatedly: usize,
     /// Most tasks that any endpoint ran at once.
     pub most_at_once: u32,
     /// Descriptions of the broken promises, a line for each.
@@ -35,7 +35,7 @@
     let mut judgement = Judgement {
         tasks: opening.jobs.iter().map(|job| job.run_times.len()).sum(),
         started_once: starts.values().filter(|count| **count == 1).count(),
-        started_twice: starts.values().filter(|count| **count > 1).count(),
+        started_repeatedly: starts.values().filter(|count| **count > 1).count(),
         most_at_once: logs.iter().map(|log| log.most_at_once).max().unwrap_or(0),
         violations: Vec::new(),
     };
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -65,7 +65,7 @@
         )?;
         writeln!(f, "tasks                {}", judgement.tasks)?;
         writeln!(f, "  started once       {}", judgement.started_once)?;
-        writeln!(f, "  started repeatedly {}", judgement.started_twice)
+        writeln!(f, "  started repeatedly {}", judgement.started_repeatedly)
     }
 
     fn write_times(&self, f: &mut Formatter<'_>) -> fmt::Result {
--- a/crates/bench/tests/demo.rs
+++ b/crates/bench/tests/demo.rs
@@ -75,8 +75,11 @@
     let opening = opening();
     let logs = [log(&opening, 1), log(&opening, 1)];
     let judgement = judge(&opening, &[result(Verdict::Completed)], &logs, SLOTS);
-    assert_eq!(judgement.started_twice, opening.jobs[0].run_times.len());
-    assert_eq!(judgement.violations.len(), judgement.started_twice);
+    assert_eq!(
+        judgement.started_repeatedly,
+        opening.jobs[0].run_times.len()
+    );
+    assert_eq!(judgement.violations.len(), judgement.started_repeatedly);
 }
 
 #[rstest]
