--- a/crates/bench/src/demo/job_result.rs
+++ b/crates/bench/src/demo/job_result.rs
@@ -29,7 +29,7 @@
     pub verdict: Verdict,
     /// Verdict on the answer to the resubmission; none where there was no
     /// resubmission.
-    pub again: Option<Verdict>,
+    pub resubmission_verdict: Option<Verdict>,
     /// False where both submissions were answered, with different answers.
     pub answers_agree: bool,
     /// Delay between the planned arrival and the first submission.
--- a/crates/bench/src/demo/judge.rs
+++ b/crates/bench/src/demo/judge.rs
@@ -81,7 +81,7 @@
                     "{name}: complete, but only {started} tasks started"
                 ));
             }
-            Verdict::Refused if started > 0 && result.again.is_none() => {
+            Verdict::Refused if started > 0 && result.resubmission_verdict.is_none() => {
                 self.report(format!("{name}: refused, but {started} tasks started"));
             }
             Verdict::Invalid => {
@@ -90,7 +90,10 @@
             Verdict::Missing => self.report(format!("{name}: no answer to the first submission")),
             _ => {}
         }
-        if matches!(result.again, Some(Verdict::Invalid | Verdict::Missing)) {
+        if matches!(
+            result.resubmission_verdict,
+            Some(Verdict::Invalid | Verdict::Missing)
+        ) {
             self.report(format!("{name}: the resubmission got no valid answer"));
         }
         if !result.answers_agree {
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -52,7 +52,11 @@
 
     fn write_counts(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let judgement = &self.judgement;
-        let again = self.results.iter().filter(|r| r.again.is_some()).count();
+        let again = self
+            .results
+            .iter()
+            .filter(|r| r.resubmission_verdict.is_some())
+            .count();
         writeln!(f, "jobs                 {}", self.opening.jobs.len())?;
         writeln!(f, "  resubmitted        {again}, at another entry")?;
         writeln!(f, "  completed          {}", self.count(Verdict::Completed))?;
--- a/crates/bench/src/demo/send_opening.rs
+++ b/crates/bench/src/demo/send_opening.rs
@@ -78,7 +78,7 @@
         JobResult {
             number,
             verdict: verdict(job, reply.as_ref()),
-            again: again.map(|reply| verdict(job, reply.as_ref())),
+            resubmission_verdict: again.map(|reply| verdict(job, reply.as_ref())),
             answers_agree,
             sent_late: sent_at.saturating_duration_since(self.started_at + job.at),
             response_time,
--- a/crates/bench/tests/demo.rs
+++ b/crates/bench/tests/demo.rs
@@ -40,7 +40,7 @@
     JobResult {
         number: 0,
         verdict,
-        again: None,
+        resubmission_verdict: None,
         answers_agree: true,
         sent_late: Duration::ZERO,
         response_time: Duration::from_millis(100),
