--- a/crates/bench/src/demo/judge.rs
+++ b/crates/bench/src/demo/judge.rs
@@ -84,9 +84,7 @@
             Verdict::Refused if started > 0 && result.resubmission_verdict.is_none() => {
                 self.report(format!("{name}: refused, but {started} tasks started"));
             }
-            Verdict::Invalid => {
-                self.report(format!("{name}: the answer is partial or not its own"))
-            }
+            Verdict::Invalid => self.report(format!("{name}: answer is partial or not its own")),
             Verdict::Missing => self.report(format!("{name}: no answer to the first submission")),
             _ => {}
         }
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -132,8 +132,8 @@
         value: impl Fn(&PlannedJob, &JobResult) -> u128,
     ) -> Histogram<u64> {
         let mut histogram = histogram();
-        let whole = self.jobs().filter(|(_, r)| r.verdict == Verdict::Completed);
-        for (job, result) in whole.filter(|(job, _)| is_chosen(job)) {
+        let completed = self.jobs().filter(|(_, r)| r.verdict == Verdict::Completed);
+        for (job, result) in completed.filter(|(job, _)| is_chosen(job)) {
             let value = u64::try_from(value(job, result)).unwrap_or(u64::MAX);
             histogram.saturating_record(value);
         }
