--- a/crates/bench/src/demo/arguments.rs
+++ b/crates/bench/src/demo/arguments.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Command-line arguments of the `demo` command.
+/// Arguments of the `demo` command.
 #[derive(Bpaf, Clone, Debug)]
 pub struct DemoArguments {
     /// Site to start: cooperative or alliance.
--- a/crates/bench/src/experiment/arguments.rs
+++ b/crates/bench/src/experiment/arguments.rs
@@ -2,7 +2,7 @@
 
 use {bpaf::Bpaf, std::path::PathBuf};
 
-/// Command-line arguments of the `experiment` command.
+/// Arguments of the `experiment` command.
 #[derive(Bpaf, Clone, Debug)]
 pub struct ExperimentArguments {
     /// Run real processes on loopback instead of the decision code alone.
--- a/crates/bench/src/slopes/arguments.rs
+++ b/crates/bench/src/slopes/arguments.rs
@@ -2,7 +2,7 @@
 
 use bpaf::Bpaf;
 
-/// Command-line arguments of the `slopes` command.
+/// Arguments of the `slopes` command.
 #[derive(Bpaf, Clone, Debug)]
 pub struct SlopesArguments {
     /// Duration of each measurement, in seconds.
