--- a/crates/bench/src/experiment/plots.rs
+++ b/crates/bench/src/experiment/plots.rs
@@ -1,7 +1,7 @@
-//! Plots of an experiment.
+//! Draws the plots of an experiment.
 
 use {
-    crate::experiment::{Contestant, GroupKey, Measures, Variant, Window},
+    crate::experiment::{GroupKey, Measures, PolicyKind, Variant, Window},
     plotters::prelude::*,
     std::{
         error::Error,
@@ -12,16 +12,17 @@
 /// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (900, 520);
 
-/// Points of a curve.
+/// Number of points of each curve.
 const POINTS: u32 = 400;
 
-/// A run with what it measured.
-pub type MeasuredRun = (Contestant, Variant, Measures);
+/// A policy, a variant of the arrivals, and their measurements.
+pub type MeasuredRun = (PolicyKind, Variant, Measures);
 
-/// Plots the distribution of each group's response under each policy.
+/// Writes one SVG plot for each group of tasks: the response time by percentile,
+/// with a curve for each policy and variant. Returns the paths of the plots.
 ///
 /// # Errors
-/// Returns an error where a plot cannot be drawn.
+/// Returns an error where a plot cannot be drawn or written.
 pub fn plot(
     folder: &Path,
     name: &str,
@@ -51,10 +52,10 @@
         .filter_map(|(policy, variant, measures)| {
             let responses = measures.groups.get(key)?;
             let points = (0..=POINTS).map(|i| {
-                let part = f64::from(i) / f64::from(POINTS) * 0.999;
-                let micros = responses.response.value_at_quantile(part);
+                let quantile = f64::from(i) / f64::from(POINTS) * 0.999;
+                let micros = responses.response.value_at_quantile(quantile);
                 let response = std::time::Duration::from_micros(micros.max(1));
-                (part * 100.0, response.as_secs_f64() * 1_000.0)
+                (quantile * 100.0, response.as_secs_f64() * 1_000.0)
             });
             let name = match variant {
                 Variant::Full => policy.to_string(),
--- a/crates/bench/tests/demo.rs
+++ b/crates/bench/tests/demo.rs
@@ -40,7 +40,7 @@
     JobResult {
         number: 0,
         verdict,
-        again: None,
+        resubmission_verdict: None,
         answers_agree: true,
         sent_late: Duration::ZERO,
         response_time: Duration::from_millis(100),
@@ -48,11 +48,11 @@
 }
 
 #[rstest]
-#[case::whole(Verdict::Whole, 1, 0)]
+#[case::whole(Verdict::Completed, 1, 0)]
 #[case::refused(Verdict::Refused, 0, 0)]
-#[case::complete_without_a_start(Verdict::Whole, 0, 1)]
+#[case::complete_without_a_start(Verdict::Completed, 0, 1)]
 #[case::refused_but_started(Verdict::Refused, 1, 1)]
-#[case::partial(Verdict::Broken, 1, 1)]
+#[case::partial(Verdict::Invalid, 1, 1)]
 #[case::no_answer(Verdict::Missing, 1, 1)]
 fn a_broken_promise_is_found(
     #[case] verdict: Verdict,
@@ -62,16 +62,24 @@
     let opening = opening();
     let logs = [log(&opening, starts)];
     let judgement = judge(&opening, &[result(verdict)], &logs, SLOTS);
-    assert_eq!(judgement.broken.len(), broken, "{:?}", judgement.broken);
+    assert_eq!(
+        judgement.violations.len(),
+        broken,
+        "{:?}",
+        judgement.violations
+    );
 }
 
 #[rstest]
 fn a_second_start_at_another_endpoint_is_found() {
     let opening = opening();
     let logs = [log(&opening, 1), log(&opening, 1)];
-    let judgement = judge(&opening, &[result(Verdict::Whole)], &logs, SLOTS);
-    assert_eq!(judgement.started_twice, opening.jobs[0].run_times.len());
-    assert_eq!(judgement.broken.len(), judgement.started_twice);
+    let judgement = judge(&opening, &[result(Verdict::Completed)], &logs, SLOTS);
+    assert_eq!(
+        judgement.started_repeatedly,
+        opening.jobs[0].run_times.len()
+    );
+    assert_eq!(judgement.violations.len(), judgement.started_repeatedly);
 }
 
 #[rstest]
@@ -79,8 +87,8 @@
     let opening = opening();
     let mut log = log(&opening, 1);
     log.most_at_once = SLOTS + 1;
-    let judgement = judge(&opening, &[result(Verdict::Whole)], &[log], SLOTS);
-    assert_eq!(judgement.broken.len(), 1);
+    let judgement = judge(&opening, &[result(Verdict::Completed)], &[log], SLOTS);
+    assert_eq!(judgement.violations.len(), 1);
 }
 
 #[rstest]
