--- a/crates/bench/tests/callers_http.rs
+++ b/crates/bench/tests/callers_http.rs
@@ -1,4 +1,4 @@
-//! Requests of callers that an entry refuses, over real processes.
+//! Tests of the errors that an entry returns to callers, against running processes.
 
 mod documented;
 
@@ -21,19 +21,21 @@
 const JOBS: &str = "/v1/contracts/letters/jobs";
 const TASK: &str = r#"{"kind": "stamp", "declared_run_time": "1ms"}"#;
 
-/// One refused request and what is expected of the refusal.
-struct Refused {
+/// A request that the entry refuses, and the expected refusal.
+struct RefusedRequest {
     method: Method,
     path: &'static str,
     headers: Vec<(&'static str, &'static str)>,
     body: String,
     status: u16,
+    /// Last part of the problem type, which is a URN.
     kind: &'static str,
     not_run: bool,
 }
 
-fn refused(status: u16, kind: &'static str, body: impl Into<String>) -> Refused {
-    Refused {
+/// Returns a job submission that the entry refuses.
+fn refused_submission(status: u16, kind: &'static str, body: impl Into<String>) -> RefusedRequest {
+    RefusedRequest {
         method: Method::POST,
         path: JOBS,
         headers: vec![TOKEN, KEY],
@@ -44,136 +46,147 @@
     }
 }
 
-fn asked(method: Method, path: &'static str, status: u16, kind: &'static str) -> Refused {
-    Refused {
+/// Returns a request without a body that the entry refuses, and whose refusal does
+/// not say that the job has not run.
+fn refused_job_request(
+    method: Method,
+    path: &'static str,
+    status: u16,
+    kind: &'static str,
+) -> RefusedRequest {
+    RefusedRequest {
         method,
         path,
         not_run: false,
-        ..refused(status, kind, "")
+        ..refused_submission(status, kind, "")
     }
 }
 
-fn job_of(count: usize) -> String {
+fn job_with(count: usize) -> String {
     format!(r#"{{"tasks": [{}]}}"#, vec![TASK; count].join(", "))
 }
 
-fn refusals() -> Vec<Refused> {
+fn refusals() -> Vec<RefusedRequest> {
     let mut cases = vec![
-        refused(400, "bad-json", "{\"tasks\": [\n}"),
-        refused(400, "bad-json", "{\"tasks\": ["),
-        refused(400, "bad-json", ""),
-        refused(400, "bad-field", r#"{"tasks": [], "colour": 1}"#),
-        refused(400, "bad-field", r#"{"tasks": 7}"#),
-        refused(
+        refused_submission(400, "bad-json", "{\"tasks\": [\n}"),
+        refused_submission(400, "bad-json", "{\"tasks\": ["),
+        refused_submission(400, "bad-json", ""),
+        refused_submission(400, "bad-field", r#"{"tasks": [], "colour": 1}"#),
+        refused_submission(400, "bad-field", r#"{"tasks": 7}"#),
+        refused_submission(
             400,
             "bad-field",
             r#"{"tasks": [{"kind": "stamp", "declared_run_time": "5"}]}"#,
         ),
-        refused(400, "no-task", r#"{"tasks": []}"#),
-        refused(400, "too-many-tasks", job_of(171)),
-        refused(
+        refused_submission(400, "no-task", r#"{"tasks": []}"#),
+        refused_submission(400, "too-many-tasks", job_with(171)),
+        refused_submission(
             400,
             "bad-task",
             r#"{"tasks": [{"kind": "", "declared_run_time": "1s"}]}"#,
         ),
-        refused(
+        refused_submission(
             400,
             "bad-deadline",
             format!(r#"{{"tasks": [{TASK}], "deadline_in": "999years"}}"#),
         ),
-        refused(413, "body-too-long", " ".repeat(9 * 1024 * 1024)),
-        Refused {
+        refused_submission(413, "body-too-long", " ".repeat(9 * 1024 * 1024)),
+        RefusedRequest {
             headers: vec![TOKEN],
-            ..refused(400, "key-missing", job_of(1))
+            ..refused_submission(400, "key-missing", job_with(1))
         },
-        Refused {
+        RefusedRequest {
             headers: vec![TOKEN, ("idempotency-key", "a b")],
-            ..refused(400, "bad-key", job_of(1))
+            ..refused_submission(400, "bad-key", job_with(1))
         },
-        Refused {
+        RefusedRequest {
             path: "/v1/contracts/letters/jobs?wait=soon",
-            ..refused(400, "bad-query", job_of(1))
+            ..refused_submission(400, "bad-query", job_with(1))
         },
-        Refused {
+        RefusedRequest {
             path: "/v1/contracts/letters/jobs?colour=1",
-            ..refused(400, "bad-query", job_of(1))
+            ..refused_submission(400, "bad-query", job_with(1))
         },
-        Refused {
+        RefusedRequest {
             headers: vec![KEY, FIRST],
-            ..refused(401, "unauthorized", job_of(1))
+            ..refused_submission(401, "unauthorized", job_with(1))
         },
-        Refused {
+        RefusedRequest {
             headers: vec![KEY],
             not_run: false,
-            ..refused(401, "unauthorized", job_of(1))
+            ..refused_submission(401, "unauthorized", job_with(1))
         },
-        Refused {
+        RefusedRequest {
             path: "/v1/contracts/nobody/jobs",
             headers: vec![TOKEN, KEY, FIRST],
-            ..refused(401, "unauthorized", job_of(1))
+            ..refused_submission(401, "unauthorized", job_with(1))
         },
-        Refused {
+        RefusedRequest {
             path: "/v2/jobs",
-            ..refused(404, "not-found", job_of(1))
+            ..refused_submission(404, "not-found", job_with(1))
         },
-        Refused {
+        RefusedRequest {
             method: Method::PUT,
-            ..refused(405, "method-not-allowed", job_of(1))
+            ..refused_submission(405, "method-not-allowed", job_with(1))
         },
-        asked(
+        refused_job_request(
             Method::GET,
             "/v1/contracts/letters/jobs/nothing",
             404,
             "unknown-job",
         ),
-        asked(
+        refused_job_request(
             Method::DELETE,
             "/v1/contracts/letters/jobs/nothing",
             404,
             "unknown-job",
         ),
-        asked(
+        refused_job_request(
             Method::GET,
             "/v1/contracts/letters/jobs/k1?wait=soon",
             400,
             "bad-query",
         ),
-        asked(
+        refused_job_request(
             Method::GET,
             "/v1/contracts/letters/jobs/a%20b",
             400,
             "bad-key",
         ),
     ];
-    cases.push(Refused {
+    cases.push(RefusedRequest {
         method: Method::PATCH,
-        ..asked(
+        ..refused_job_request(
             Method::GET,
             "/v1/contracts/letters/jobs/k1",
             405,
             "method-not-allowed",
         )
     });
-    cases.last_mut().expect("one was pushed").not_run = true;
+    cases.last_mut().expect("a case was pushed").not_run = true;
     cases
 }
 
-async fn site() -> Site {
+async fn start_site() -> Site {
     let plan = SitePlan::builder().entries(1).endpoints(1).build();
-    let site = Site::start(plan).await.expect("the site comes up");
-    let contract = Site::contract("letters").build().expect("it is valid");
-    site.create_contract(&contract).await.expect("in force");
+    let site = Site::start(plan).await.expect("the site starts");
+    let contract = Site::contract("letters")
+        .build()
+        .expect("the contract is valid");
+    site.create_contract(&contract)
+        .await
+        .expect("the contract comes into force");
     site
 }
 
-async fn check(site: &Site, case: &Refused) {
+async fn check_refusal(site: &Site, case: &RefusedRequest) {
     let url = format!("http://{}{}", site.plan.callers(0), case.path);
     let sent = site
         .client
         .send(case.method.clone(), url, &case.headers, case.body.clone())
         .await;
-    let reply = sent.expect("an answer comes");
-    documented::check(&case.method, case.path, &reply);
+    let reply = sent.expect("the server replies");
+    documented::check_exchange(&case.method, case.path, &reply);
     let kind = format!("urn:chestnutrun:problem:{}", case.kind);
     assert_eq!(reply.body["type"], kind, "{}", reply.body);
     assert_eq!(reply.status, case.status, "{}", reply.body);
@@ -184,12 +197,12 @@
 #[rstest]
 fn refusals_are_problem_documents() {
     block_on(async {
-        let site = site().await;
+        let site = start_site().await;
         for case in refusals() {
-            check(&site, &case).await;
+            check_refusal(&site, &case).await;
         }
         let starts = starts(&site).await;
-        assert_eq!(starts, json!([]), "a refused request started a task");
+        assert_eq!(starts, json!([]), "a refused request has started a task");
         site.close();
     });
 }
@@ -197,14 +210,14 @@
 #[rstest]
 fn bad_json_names_line_and_column() {
     block_on(async {
-        let site = site().await;
+        let site = start_site().await;
         let body = "{\n  \"tasks\": [],\n  \"colour\": 1\n}";
         let url = format!("http://{}{JOBS}", site.plan.callers(0));
         let sent = site
             .client
             .send(Method::POST, url, &[TOKEN, KEY], body.to_owned())
             .await;
-        let reply = sent.expect("an answer comes");
+        let reply = sent.expect("the server replies");
         assert_eq!(
             (&reply.body["line"], &reply.body["column"]),
             (&json!(3), &json!(10))
@@ -214,16 +227,16 @@
 }
 
 #[rstest]
-fn a_key_with_another_body_claims_nothing() {
+fn a_reused_key_does_not_claim_that_the_job_has_not_run() {
     block_on(async {
-        let site = site().await;
+        let site = start_site().await;
         let callers = site.plan.callers(0);
         let first = json!({"tasks": [{"kind": "stamp", "declared_run_time": "1ms"}]});
         let other = json!({"tasks": [{"kind": "letter", "declared_run_time": "1ms"}]});
         let reply = site.client.submit(callers, "letters", "k1", &first).await;
-        assert_eq!(reply.expect("an answer comes").status, 200);
+        assert_eq!(reply.expect("the server replies").status, 200);
         let reply = site.client.submit(callers, "letters", "k1", &other).await;
-        let reply = reply.expect("an answer comes");
+        let reply = reply.expect("the server replies");
         assert_eq!(reply.status, 409, "{}", reply.body);
         assert_eq!(reply.body["type"], "urn:chestnutrun:problem:key-reused");
         assert_eq!(reply.body["not_run"], false);
@@ -234,22 +247,25 @@
 #[rstest]
 fn an_entry_without_configuration_is_not_ready() {
     block_on(async {
-        let mut site = site().await;
+        let mut site = start_site().await;
         set_fault(&site, "refusing").await;
-        site.entries[0].restart().expect("it starts");
+        site.entries[0].restart().expect("the entry starts");
         let job = json!({"tasks": [{"kind": "stamp", "declared_run_time": "1ms"}]});
         let callers = site.plan.callers(0);
-        let by = Instant::now() + Duration::from_secs(10);
+        let deadline = Instant::now() + Duration::from_secs(10);
         let reply = loop {
             match site.client.submit(callers, "letters", "k1", &job).await {
                 Ok(reply) => break reply,
-                Err(error) => assert!(Instant::now() < by, "{error}"),
+                Err(error) => assert!(Instant::now() < deadline, "{error}"),
             }
             sleep(Duration::from_millis(20)).await;
         };
         assert_eq!(reply.status, 503, "{}", reply.body);
         assert_eq!(reply.body["type"], "urn:chestnutrun:problem:not-ready");
-        assert_eq!(reply.body["not_run"], false, "an earlier try may have run");
+        assert_eq!(
+            reply.body["not_run"], false,
+            "an earlier submission may have run"
+        );
         assert_eq!(reply.retry_after.as_deref(), Some("1"));
         site.close();
     });
@@ -260,17 +276,22 @@
     let headers = [("content-type", "application/json")];
     let body = format!("\"{fault}\"");
     let set = site.client.send(Method::PUT, url, &headers, body).await;
-    assert_eq!(set.expect("an answer comes").status, 204);
+    assert_eq!(set.expect("the server replies").status, 204);
 }
 
-/// A receipt means that an owner has recorded the job.
+/// A receipt means that an owner has recorded the job, so an entry that reaches no
+/// owner must not send one.
 #[rstest]
 fn without_an_owner_there_is_no_receipt() {
     block_on(async {
         let plan = SitePlan::builder().entries(2).endpoints(1).build();
-        let mut site = Site::start(plan).await.expect("the site comes up");
-        let contract = Site::contract("letters").build().expect("it is valid");
-        site.create_contract(&contract).await.expect("in force");
+        let mut site = Site::start(plan).await.expect("the site starts");
+        let contract = Site::contract("letters")
+            .build()
+            .expect("the contract is valid");
+        site.create_contract(&contract)
+            .await
+            .expect("the contract comes into force");
         let shards = site.status(0).await["shards"].clone();
         let owner = usize::from(shards.as_array().is_none_or(Vec::is_empty));
         set_fault(&site, "refusing").await;
@@ -278,9 +299,9 @@
         let other = site.plan.callers(u16::from(owner == 0));
         let url = format!("http://{other}{JOBS}?wait=0s");
         let headers = [TOKEN, KEY, FIRST];
-        let sent = site.client.send(Method::POST, url, &headers, job_of(1));
-        let reply = sent.await.expect("an answer comes");
-        documented::check(&Method::POST, JOBS, &reply);
+        let sent = site.client.send(Method::POST, url, &headers, job_with(1));
+        let reply = sent.await.expect("the server replies");
+        documented::check_exchange(&Method::POST, JOBS, &reply);
         assert_eq!(reply.status, 503, "{}", reply.body);
         assert_eq!(reply.body["type"], "urn:chestnutrun:problem:no-receipt");
         assert_eq!(reply.body["not_run"], false);
@@ -289,8 +310,8 @@
         let url = format!("http://{other}{JOBS}");
         let sent = site
             .client
-            .send(Method::POST, url, &[TOKEN, KEY], job_of(1));
-        let reply = sent.await.expect("an answer comes");
+            .send(Method::POST, url, &[TOKEN, KEY], job_with(1));
+        let reply = sent.await.expect("the server replies");
         assert_eq!(reply.status, 200, "{}", reply.body);
         let count = starts(&site).await.as_array().map_or(0, Vec::len);
         let is_unknown = reply.body["tasks"][0]["outcome"] == "outcome-unknown";
@@ -299,23 +320,30 @@
     });
 }
 
-/// Sends bytes as they are, closes the sending half where asked, and returns
-/// what comes back.
-async fn raw(site: &Site, bytes: &[u8], shut: bool) -> String {
+/// Sends bytes to the entry without an HTTP client, closes the sending half of the
+/// connection if `close_sending` is set, and returns the response.
+async fn send_raw(site: &Site, bytes: &[u8], close_sending: bool) -> String {
     let mut stream = TcpStream::connect(site.plan.callers(0))
         .await
-        .expect("it listens");
-    stream.write_all(bytes).await.expect("it takes bytes");
-    if shut {
-        stream.shutdown().await.expect("it can be shut");
+        .expect("the entry listens");
+    stream
+        .write_all(bytes)
+        .await
+        .expect("the entry receives bytes");
+    if close_sending {
+        stream
+            .shutdown()
+            .await
+            .expect("the sending half can be closed");
     }
     let mut buf = Vec::new();
-    // A connection that stays open after the answer ends the read as well.
+    // If the entry leaves the connection open after the response, the timeout ends
+    // the read.
     let _ = timeout(Duration::from_secs(15), stream.read_to_end(&mut buf)).await;
     String::from_utf8_lossy(&buf).into_owned()
 }
 
-fn head(length: usize) -> String {
+fn request_head(length: usize) -> String {
     format!(
         "POST {JOBS} HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\
          authorization: Bearer token-of-letters\r\nidempotency-key: k1\r\n\
@@ -324,25 +352,25 @@
 }
 
 #[rstest]
-fn odd_requests_get_clear_errors() {
+fn malformed_and_slow_requests_get_specific_errors() {
     block_on(async {
-        let site = site().await;
-        let many: Vec<String> = (0..100).map(|i| format!("x-{i}: 1\r\n")).collect();
-        let many = many.concat();
+        let site = start_site().await;
+        let many_headers: Vec<String> = (0..100).map(|i| format!("x-{i}: 1\r\n")).collect();
+        let many_headers = many_headers.concat();
         let cases: [(Vec<u8>, &str, &str); 5] = [
             (
-                [head(2).as_bytes(), b"\xff\xfe"].concat(),
+                [request_head(2).as_bytes(), b"\xff\xfe"].concat(),
                 " 400 ",
                 "bad-utf8",
             ),
             (
-                format!("GET {JOBS}/k1 HTTP/1.1\r\nhost: a\r\n{many}\r\n").into_bytes(),
+                format!("GET {JOBS}/k1 HTTP/1.1\r\nhost: a\r\n{many_headers}\r\n").into_bytes(),
                 " 431 ",
                 "head-too-large",
             ),
             (b"nonsense\r\n\r\n".to_vec(), " 400 ", "bad-request"),
             (
-                [head(50).as_bytes(), b"{\"tasks\""].concat(),
+                [request_head(50).as_bytes(), b"{\"tasks\""].concat(),
                 " 408 ",
                 "body-too-slow",
             ),
@@ -353,14 +381,19 @@
             ),
         ];
         for (bytes, status, kind) in cases {
-            let answer = raw(&site, &bytes, false).await;
+            let answer = send_raw(&site, &bytes, false).await;
             assert!(answer.contains(status), "{kind}: {answer:?}");
             assert!(
                 answer.contains(&format!("problem:{kind}")),
                 "{kind}: {answer:?}"
             );
         }
-        let half = raw(&site, &[head(50).as_bytes(), b"{\"tasks\""].concat(), true).await;
+        let half = send_raw(
+            &site,
+            &[request_head(50).as_bytes(), b"{\"tasks\""].concat(),
+            true,
+        )
+        .await;
         assert!(
             half.is_empty() || half.contains("problem:body-cut-off"),
             "{half:?}"
@@ -368,7 +401,7 @@
         assert_eq!(
             starts(&site).await,
             json!([]),
-            "an odd request started a task"
+            "a malformed request has started a task"
         );
         site.close();
     });
@@ -377,5 +410,5 @@
 async fn starts(site: &Site) -> Value {
     let url = format!("http://{}/starts", site.plan.endpoint(0));
     let sent = site.client.send(Method::GET, url, &[], String::new()).await;
-    sent.expect("an answer comes").body["starts"].clone()
+    sent.expect("the server replies").body["starts"].clone()
 }
--- a/crates/bench/tests/demo.rs
+++ b/crates/bench/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The demo's plan and its judgement of what ran.
+//! Tests of the demo's plan and of its check of the results.
 
 use {
     chestnutrun_bench::{
@@ -18,7 +18,7 @@
     opening
 }
 
-fn log(opening: &Opening, times: usize) -> StartLog {
+fn start_log(opening: &Opening, times: usize) -> StartLog {
     let job = &opening.jobs[0];
     let mut log = StartLog::default();
     for _ in 0..times {
@@ -36,7 +36,7 @@
     log
 }
 
-fn result(verdict: Verdict) -> JobResult {
+fn job_result(verdict: Verdict) -> JobResult {
     JobResult {
         number: 0,
         verdict,
@@ -54,22 +54,22 @@
 #[case::refused_but_started(Verdict::Refused, 1, 1)]
 #[case::partial(Verdict::Broken, 1, 1)]
 #[case::no_answer(Verdict::Missing, 1, 1)]
-fn a_broken_promise_is_found(
+fn a_violated_guarantee_is_found(
     #[case] verdict: Verdict,
     #[case] starts: usize,
     #[case] broken: usize,
 ) {
     let opening = opening();
-    let logs = [log(&opening, starts)];
-    let judgement = judge(&opening, &[result(verdict)], &logs, SLOTS);
+    let logs = [start_log(&opening, starts)];
+    let judgement = judge(&opening, &[job_result(verdict)], &logs, SLOTS);
     assert_eq!(judgement.broken.len(), broken, "{:?}", judgement.broken);
 }
 
 #[rstest]
 fn a_second_start_at_another_endpoint_is_found() {
     let opening = opening();
-    let logs = [log(&opening, 1), log(&opening, 1)];
-    let judgement = judge(&opening, &[result(Verdict::Whole)], &logs, SLOTS);
+    let logs = [start_log(&opening, 1), start_log(&opening, 1)];
+    let judgement = judge(&opening, &[job_result(Verdict::Whole)], &logs, SLOTS);
     assert_eq!(judgement.started_twice, opening.jobs[0].run_times.len());
     assert_eq!(judgement.broken.len(), judgement.started_twice);
 }
@@ -77,16 +77,16 @@
 #[rstest]
 fn more_runs_than_slots_are_found() {
     let opening = opening();
-    let mut log = log(&opening, 1);
+    let mut log = start_log(&opening, 1);
     log.most_at_once = SLOTS + 1;
-    let judgement = judge(&opening, &[result(Verdict::Whole)], &[log], SLOTS);
+    let judgement = judge(&opening, &[job_result(Verdict::Whole)], &[log], SLOTS);
     assert_eq!(judgement.broken.len(), 1);
 }
 
 #[rstest]
 #[case(SiteName::Cooperative)]
 #[case(SiteName::Alliance)]
-fn an_opening_asks_for_each_kind_and_depends_on_its_seed_alone(#[case] site: SiteName) {
+fn an_opening_has_jobs_of_each_kind_and_depends_only_on_its_seed(#[case] site: SiteName) {
     let profile = SiteProfile::of(site);
     let plan = |seed| Opening::plan(&profile, 88, 3, seed).jobs;
     let times = |seed| plan(seed).iter().map(|job| job.at).collect::<Vec<_>>();
--- a/crates/bench/tests/documented/mod.rs
+++ b/crates/bench/tests/documented/mod.rs
@@ -1,4 +1,4 @@
-//! Compares exchanges with the `OpenAPI` document.
+//! Checks HTTP exchanges against the `OpenAPI` document.
 
 use {
     chestnutrun_bench::site::HttpReply,
@@ -12,13 +12,16 @@
     serde_saphyr::from_str(text).expect("the document is YAML")
 });
 
-/// Problems that any path may give and that stand in the document's text.
-const ANYWHERE: [&str; 2] = ["method-not-allowed", "not-found"];
+/// Problems that any path may return; the document describes them in its text and
+/// not with each path.
+const PROBLEMS_OF_EVERY_PATH: [&str; 2] = ["method-not-allowed", "not-found"];
 
-/// Every path and method of the document.
-#[allow(dead_code, reason = "not every test file asks for them")]
+/// Returns each path of the document with each of its methods.
+#[allow(dead_code, reason = "not every test file uses this function")]
 pub fn operations() -> Vec<(String, String)> {
-    let paths = DOCUMENT["paths"].as_object().expect("it has paths");
+    let paths = DOCUMENT["paths"]
+        .as_object()
+        .expect("the document has paths");
     let methods = ["get", "put", "post", "delete"];
     let operations = paths.iter().flat_map(|(path, item)| {
         let known = methods.iter().filter(|method| item.get(**method).is_some());
@@ -27,18 +30,24 @@
     operations.collect()
 }
 
-/// Finds the document's path for a path with or without a query.
-pub fn template(path: &str) -> Option<&'static str> {
+/// Returns the path template of the document that matches a request's path; a query
+/// is ignored.
+pub fn path_template(path: &str) -> Option<&'static str> {
     let path = path.split('?').next().unwrap_or_default();
-    let paths = DOCUMENT["paths"].as_object().expect("it has paths");
-    let matching = paths.keys().filter(|template| fits(template, path));
+    let paths = DOCUMENT["paths"]
+        .as_object()
+        .expect("the document has paths");
+    let matching = paths
+        .keys()
+        .filter(|template| matches_template(template, path));
     matching
         .map(String::as_str)
         .min_by_key(|template| template.matches('{').count())
 }
 
-/// Checks that the document has the exchange.
-pub fn check(method: &Method, path: &str, reply: &HttpReply) {
+/// Asserts that the document has the reply's problem type, and its status and media
+/// type for the request's path and method.
+pub fn check_exchange(method: &Method, path: &str, reply: &HttpReply) {
     let kind = problem_type(reply);
     if let Some(kind) = kind {
         let schema = &DOCUMENT["components"]["schemas"]["Problem"];
@@ -48,22 +57,26 @@
             "{kind} is not documented"
         );
     }
-    if ANYWHERE
+    if PROBLEMS_OF_EVERY_PATH
         .iter()
         .any(|name| kind.is_some_and(|kind| kind.ends_with(name)))
     {
         return;
     }
     let exchange = format!("{method} {path} {} {:?}", reply.status, reply.media_type);
-    let template = template(path).unwrap_or_else(|| panic!("no path for {exchange}"));
+    let template =
+        path_template(path).unwrap_or_else(|| panic!("the document has no path for {exchange}"));
     let method = method.as_str().to_lowercase();
     let responses = &DOCUMENT["paths"][template][&method]["responses"];
-    let response = resolved(&responses[reply.status.to_string()]);
-    assert!(!response.is_null(), "no response for {exchange}");
+    let response = resolve_reference(&responses[reply.status.to_string()]);
+    assert!(
+        !response.is_null(),
+        "the document has no response for {exchange}"
+    );
     let media_type = reply.media_type.as_deref().unwrap_or_default();
     assert!(
         !response["content"][media_type].is_null(),
-        "no media type for {exchange}"
+        "the document has no media type for {exchange}"
     );
 }
 
@@ -72,16 +85,16 @@
     reply.body["type"].as_str().filter(|_| is_problem)
 }
 
-fn resolved(value: &'static Value) -> &'static Value {
+fn resolve_reference(value: &'static Value) -> &'static Value {
     match value["$ref"].as_str() {
         Some(pointer) => DOCUMENT
             .pointer(pointer.trim_start_matches('#'))
-            .unwrap_or_else(|| panic!("{pointer} leads nowhere")),
+            .unwrap_or_else(|| panic!("{pointer} is not in the document")),
         None => value,
     }
 }
 
-fn fits(template: &str, path: &str) -> bool {
+fn matches_template(template: &str, path: &str) -> bool {
     let parts = template.split('/').zip(path.split('/'));
     let as_long = template.matches('/').count() == path.matches('/').count();
     as_long && { parts }.all(|(of, part)| of == part || of.starts_with('{'))
--- a/crates/bench/tests/experiment.rs
+++ b/crates/bench/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiments on the decisions alone.
+//! Tests of experiments that run the scheduling decisions alone, without processes.
 
 use {
     chestnutrun_bench::experiment::{
@@ -10,7 +10,8 @@
 const HEAD_OF_LINE: &str = include_str!("../experiments/head-of-line.yaml");
 
 fn run(policy: Contestant, variant: &Variant) -> Measures {
-    let mut conf: ExperimentConf = serde_saphyr::from_str(HEAD_OF_LINE).expect("it is valid");
+    let mut conf: ExperimentConf =
+        serde_saphyr::from_str(HEAD_OF_LINE).expect("the experiment file is valid");
     conf.length /= 5;
     conf.warm_up /= 5;
     let selected = select(&conf, &arrivals(&conf, 1), variant);
@@ -19,12 +20,12 @@
 
 fn p99_of_checks(measures: &Measures) -> u64 {
     let checks = measures.groups.iter().find(|(key, _)| key.1 == "check");
-    let (_, responses) = checks.expect("checks completed");
+    let (_, responses) = checks.expect("tasks of kind check have completed");
     responses.response.value_at_quantile(0.99)
 }
 
 #[rstest]
-fn short_tasks_are_not_held_up_by_long_ones() {
+fn short_tasks_are_not_delayed_by_long_ones() {
     let alone = run(Contestant::SizeAware, &Variant::Alone("check".to_owned()));
     let with_long = run(Contestant::SizeAware, &Variant::Full);
     let first_come = run(Contestant::FirstCome, &Variant::Full);
--- a/crates/bench/tests/golden_sessions.rs
+++ b/crates/bench/tests/golden_sessions.rs
@@ -1,5 +1,5 @@
-//! Whole sessions over real processes, compared with files under `golden`;
-//! `UPDATE_EXPECT=1` writes these anew.
+//! Runs sessions against running processes and compares their text with the files
+//! under `golden`; `UPDATE_EXPECT=1` updates these files.
 
 mod golden_session;
 
@@ -25,22 +25,24 @@
 }
 
 fn plan(entries: u16, endpoints: u16) -> SitePlan {
-    builder(entries, endpoints).build()
+    plan_builder(entries, endpoints).build()
 }
 
-fn builder(entries: u16, endpoints: u16) -> SitePlanBuilder {
+fn plan_builder(entries: u16, endpoints: u16) -> SitePlanBuilder {
     SitePlan::builder().entries(entries).endpoints(endpoints)
 }
 
-/// A site that starts tasks in the order of their arrival, whatever their
-/// length: a long task first, and then short ones that wait for it.
-fn plan_in_order(entries: u16, endpoints: u16) -> SitePlan {
-    builder(entries, endpoints).policy("first-come").build()
+/// Returns the plan of a site that starts tasks in the order of their arrival, so
+/// that short tasks wait for a long one that came first.
+fn first_come_plan(entries: u16, endpoints: u16) -> SitePlan {
+    plan_builder(entries, endpoints)
+        .policy("first-come")
+        .build()
 }
 
-fn letters(limit: u32) -> Contract {
+fn letters_contract(limit: u32) -> Contract {
     let contract = Site::contract("letters").in_flight_limit(limit).build();
-    contract.expect("it is valid")
+    contract.expect("the contract is valid")
 }
 
 #[rstest]
@@ -50,14 +52,18 @@
         let mut session = Session::start(plan(1, 1), contract).await;
         let body = job(&[("honorific", 1), ("letter", 5), ("stamp", 1)]);
         let key = [("idempotency-key", "caller-7.1")];
-        session.call(0, Method::POST, JOBS, &key, &body).await;
+        session
+            .send_as_caller(0, Method::POST, JOBS, &key, &body)
+            .await;
         let failing = json!({"tasks": [
             {"kind": "stamp", "declared_run_time": "1ms", "input": "{\"fails\":true}"},
             {"kind": "stamp", "declared_run_time": "1ms"},
         ]});
-        session.say("One task that fails makes the job fail; the other's output stays.");
+        session.add_remark("One task that fails makes the job fail; the other's output stays.");
         let key = [("idempotency-key", "caller-7.2")];
-        session.call(0, Method::POST, JOBS, &key, &failing).await;
+        session
+            .send_as_caller(0, Method::POST, JOBS, &key, &failing)
+            .await;
         expect_file!["./golden/submit_and_wait.txt"].assert_eq(&session.close());
     });
 }
@@ -70,18 +76,20 @@
         let key = [("idempotency-key", "caller-7.1")];
         let path = format!("{JOBS}?wait=0s");
         let body = job(&[("letter", 1_500)]);
-        let reply = session.call(0, Method::POST, &path, &key, &body).await;
-        let of_job = reply.location.expect("it has a location");
+        let reply = session
+            .send_as_caller(0, Method::POST, &path, &key, &body)
+            .await;
+        let job_path = reply.location.expect("the reply has a location");
         session
-            .call(0, Method::GET, &of_job, &[], &Value::Null)
+            .send_as_caller(0, Method::GET, &job_path, &[], &Value::Null)
             .await;
-        let waiting = format!("{of_job}?wait=30s");
+        let waiting = format!("{job_path}?wait=30s");
         session
-            .call(0, Method::GET, &waiting, &[], &Value::Null)
+            .send_as_caller(0, Method::GET, &waiting, &[], &Value::Null)
             .await;
         let unknown = format!("{JOBS}/caller-7.2");
         session
-            .call(0, Method::GET, &unknown, &[], &Value::Null)
+            .send_as_caller(0, Method::GET, &unknown, &[], &Value::Null)
             .await;
         expect_file!["./golden/submit_and_ask_later.txt"].assert_eq(&session.close());
     });
@@ -95,17 +103,21 @@
         let key = [("idempotency-key", "caller-7.1")];
         let body = job(&[("stamp", 300)]);
         session
-            .call(0, Method::POST, &format!("{JOBS}?wait=0s"), &key, &body)
+            .send_as_caller(0, Method::POST, &format!("{JOBS}?wait=0s"), &key, &body)
+            .await;
+        session.add_remark("The caller believes the answer lost and submits elsewhere.");
+        session
+            .send_as_caller(1, Method::POST, JOBS, &key, &body)
+            .await;
+        session.add_remark("Once more, after the end.");
+        session
+            .send_as_caller(2, Method::POST, JOBS, &key, &body)
             .await;
-        session.say("The caller believes the answer lost and submits elsewhere.");
-        session.call(1, Method::POST, JOBS, &key, &body).await;
-        session.say("Once more, after the end.");
-        session.call(2, Method::POST, JOBS, &key, &body).await;
-        session.say("The same key with another body.");
+        session.add_remark("The same key with another body.");
         session
-            .call(1, Method::POST, JOBS, &key, &job(&[("letter", 1)]))
+            .send_as_caller(1, Method::POST, JOBS, &key, &job(&[("letter", 1)]))
             .await;
-        session.note_starts(0).await;
+        session.record_starts(0).await;
         expect_file!["./golden/resubmit_at_another_entry.txt"].assert_eq(&session.close());
     });
 }
@@ -114,25 +126,27 @@
 fn overload() {
     block_on(async {
         let contract = Site::contract("letters").in_flight_limit(1).queue_limit(2);
-        let mut session = Session::start(plan_in_order(1, 1), contract).await;
+        let mut session = Session::start(first_come_plan(1, 1), contract).await;
         let long = job(&[("letter", 1_500), ("letter", 1), ("letter", 1)]);
         let key = [("idempotency-key", "caller-7.1")];
         session
-            .call(0, Method::POST, &format!("{JOBS}?wait=0s"), &key, &long)
+            .send_as_caller(0, Method::POST, &format!("{JOBS}?wait=0s"), &key, &long)
             .await;
-        session.say("The queue takes no more.");
+        session.add_remark("The queue takes no more.");
         let key = [("idempotency-key", "caller-7.2")];
         session
-            .call(0, Method::POST, JOBS, &key, &job(&[("stamp", 1); 3]))
+            .send_as_caller(0, Method::POST, JOBS, &key, &job(&[("stamp", 1); 3]))
             .await;
         let key = [("idempotency-key", "caller-7.1")];
-        session.say("What was accepted is not affected.");
-        session.call(0, Method::POST, JOBS, &key, &long).await;
-        session.note_starts(0).await;
-        session.say("Now the queue has room.");
+        session.add_remark("What was accepted is not affected.");
+        session
+            .send_as_caller(0, Method::POST, JOBS, &key, &long)
+            .await;
+        session.record_starts(0).await;
+        session.add_remark("Now the queue has room.");
         let key = [("idempotency-key", "caller-7.2")];
         session
-            .call(0, Method::POST, JOBS, &key, &job(&[("stamp", 1); 3]))
+            .send_as_caller(0, Method::POST, JOBS, &key, &job(&[("stamp", 1); 3]))
             .await;
         expect_file!["./golden/overload.txt"].assert_eq(&session.close());
     });
@@ -147,17 +161,17 @@
         let key = [("idempotency-key", "caller-7.1")];
         let long = job(&[("letter", 1_500), ("letter", 1_500)]);
         session
-            .call(0, Method::POST, &format!("{JOBS}?wait=0s"), &key, &long)
+            .send_as_caller(0, Method::POST, &format!("{JOBS}?wait=0s"), &key, &long)
             .await;
         let key = [("idempotency-key", "caller-7.2")];
         session
-            .call(0, Method::POST, JOBS, &key, &job(&[("stamp", 1)]))
+            .send_as_caller(0, Method::POST, JOBS, &key, &job(&[("stamp", 1)]))
             .await;
         let waiting = format!("{JOBS}/caller-7.1?wait=30s");
         session
-            .call(0, Method::GET, &waiting, &[], &Value::Null)
+            .send_as_caller(0, Method::GET, &waiting, &[], &Value::Null)
             .await;
-        session.note_starts(0).await;
+        session.record_starts(0).await;
         expect_file!["./golden/overload_without_a_queue.txt"].assert_eq(&session.close());
     });
 }
@@ -166,21 +180,23 @@
 fn cancel() {
     block_on(async {
         let contract = Site::contract("letters").in_flight_limit(1);
-        let mut session = Session::start(plan_in_order(2, 1), contract).await;
+        let mut session = Session::start(first_come_plan(2, 1), contract).await;
         let key = [("idempotency-key", "caller-7.1")];
         let body = job(&[("letter", 1_500), ("letter", 1), ("letter", 1)]);
         let path = format!("{JOBS}?wait=0s");
-        let reply = session.call(0, Method::POST, &path, &key, &body).await;
-        let of_job = reply.location.expect("it has a location");
+        let reply = session
+            .send_as_caller(0, Method::POST, &path, &key, &body)
+            .await;
+        let job_path = reply.location.expect("the reply has a location");
         session.wait_for_start(0).await;
-        session.say("The task that runs goes on; the others never start.");
+        session.add_remark("The task that runs goes on; the others never start.");
         session
-            .call(1, Method::DELETE, &of_job, &[], &Value::Null)
+            .send_as_caller(1, Method::DELETE, &job_path, &[], &Value::Null)
             .await;
-        session.note_starts(0).await;
+        session.record_starts(0).await;
         let unknown = format!("{JOBS}/caller-7.2");
         session
-            .call(1, Method::DELETE, &unknown, &[], &Value::Null)
+            .send_as_caller(1, Method::DELETE, &unknown, &[], &Value::Null)
             .await;
         expect_file!["./golden/cancel.txt"].assert_eq(&session.close());
     });
@@ -192,49 +208,74 @@
         let contract = Site::contract("letters").in_flight_limit(4);
         let mut session = Session::start(plan(2, 1), contract).await;
         let none = Value::Null;
-        let reply = session.operate(0, Method::GET, CONTRACT, &[], &none).await;
+        let reply = session
+            .send_as_operator(0, Method::GET, CONTRACT, &[], &none)
+            .await;
         let revision = reply.body["revision"].to_string();
-        session.say("Two operators change the same revision at two entries.");
-        let min = [
+        session.add_remark("Two operators change the same revision at two entries.");
+        let change_by_min = [
             ("if-match", revision.as_str()),
             ("operator-name", "Min"),
             ("operation-id", "a"),
         ];
         session
-            .operate(0, Method::PUT, CONTRACT, &min, &json!(letters(6)))
+            .send_as_operator(
+                0,
+                Method::PUT,
+                CONTRACT,
+                &change_by_min,
+                &json!(letters_contract(6)),
+            )
             .await;
-        let sun = [
+        let change_by_sun = [
             ("if-match", revision.as_str()),
             ("operator-name", "Sun"),
             ("operation-id", "b"),
         ];
         let reply = session
-            .operate(1, Method::PUT, CONTRACT, &sun, &json!(letters(9)))
+            .send_as_operator(
+                1,
+                Method::PUT,
+                CONTRACT,
+                &change_by_sun,
+                &json!(letters_contract(9)),
+            )
             .await;
-        session.say("The second looks at the present contract and decides again.");
+        session.add_remark("The second looks at the present contract and decides again.");
         let revision = reply.body["present_revision"].to_string();
-        let sun = [
+        let change_by_sun = [
             ("if-match", revision.as_str()),
             ("operator-name", "Sun"),
             ("operation-id", "c"),
         ];
         session
-            .operate(1, Method::PUT, CONTRACT, &sun, &json!(letters(9)))
+            .send_as_operator(
+                1,
+                Method::PUT,
+                CONTRACT,
+                &change_by_sun,
+                &json!(letters_contract(9)),
+            )
             .await;
-        session.say("The same request again, as after a lost answer.");
+        session.add_remark("The same request again, as after a lost answer.");
         session
-            .operate(1, Method::PUT, CONTRACT, &sun, &json!(letters(9)))
+            .send_as_operator(
+                1,
+                Method::PUT,
+                CONTRACT,
+                &change_by_sun,
+                &json!(letters_contract(9)),
+            )
             .await;
         session
             .wait_for(CONTRACT, "/in_flight_limit", &json!(9))
             .await;
         let path = format!("{CONTRACT}/history");
-        let mut history = session.operate(0, Method::GET, &path, &[], &none).await;
+        let mut history = session
+            .send_as_operator(0, Method::GET, &path, &[], &none)
+            .await;
         let first = history.body["changes"][0]["operation"].take();
-        assert!(
-            first.is_string(),
-            "the first operation has an id of its own"
-        );
+        assert!(first.is_string(), "the first operation has a generated id");
         expect_file!["./golden/change_a_contract_in_a_race.txt"].assert_eq(&session.close());
     });
 }
@@ -247,23 +288,25 @@
         let path = "/v1/endpoints/endpoint-0/drain";
         let none = Value::Null;
         session
-            .operate(0, Method::PUT, path, &[("operation-id", "a")], &none)
+            .send_as_operator(0, Method::PUT, path, &[("operation-id", "a")], &none)
             .await;
         session
             .wait_for("/v1/endpoints", "/endpoints/0/drain", &json!("draining"))
             .await;
         let key = [("idempotency-key", "caller-7.1")];
         session
-            .call(1, Method::POST, JOBS, &key, &job(&[("stamp", 20); 4]))
+            .send_as_caller(1, Method::POST, JOBS, &key, &job(&[("stamp", 20); 4]))
+            .await;
+        session.record_starts(0).await;
+        session.record_starts(1).await;
+        session.add_remark("A return that does not know the present revision.");
+        let reply = session
+            .send_as_operator(1, Method::DELETE, path, &[], &none)
             .await;
-        session.note_starts(0).await;
-        session.note_starts(1).await;
-        session.say("A return that does not know the present revision.");
-        let reply = session.operate(1, Method::DELETE, path, &[], &none).await;
         let revision = reply.body["present_revision"].to_string();
         let headers = [("if-match", revision.as_str()), ("operation-id", "b")];
         session
-            .operate(1, Method::DELETE, path, &headers, &none)
+            .send_as_operator(1, Method::DELETE, path, &headers, &none)
             .await;
         session
             .wait_for("/v1/endpoints", "/endpoints/0/drain", &json!("serving"))
--- a/crates/bench/tests/observation.rs
+++ b/crates/bench/tests/observation.rs
@@ -1,4 +1,5 @@
-//! What processes show of themselves, and what they need while they idle.
+//! Tests of the metrics of entries and agents, and of the threads and memory of
+//! idle processes.
 
 use {
     chestnutrun_bench::site::{Site, SitePlan, SiteProcess, block_on},
@@ -8,12 +9,12 @@
     std::{fs, net::SocketAddr},
 };
 
-/// Most resident memory of an idle process, in kilobytes.
+/// Maximum resident memory of an idle process, in kilobytes.
 const MAX_IDLE_KILOBYTES: u64 = 32 * 1024;
 
-async fn site() -> Site {
+async fn start_site() -> Site {
     let plan = SitePlan::builder().endpoints(2).build();
-    let site = Site::start(plan).await.expect("the site comes up");
+    let site = Site::start(plan).await.expect("the site starts");
     let contract = Site::contract("letters").in_flight_limit(16).build();
     let contract = contract.expect("the contract is valid");
     let created = site.create_contract(&contract).await;
@@ -22,41 +23,41 @@
 }
 
 async fn metrics(site: &Site, operators: SocketAddr) -> String {
-    let asked = site
+    let sent = site
         .client
         .operate(Method::GET, operators, "/metrics", String::new())
         .await;
-    let reply = asked.expect("metrics are shown");
+    let reply = sent.expect("the process returns its metrics");
     reply.body.as_str().unwrap_or_default().to_owned()
 }
 
-/// Asserts that each line begins one line of the page.
+/// Asserts that each of `lines` is the beginning of a line of the page.
 fn assert_shows(page: &str, lines: &[&str]) {
     for line in lines {
-        let is_shown = page.lines().any(|shown| shown.starts_with(line));
-        assert!(is_shown, "{line} is not in\n{page}");
+        let is_on_page = page.lines().any(|shown| shown.starts_with(line));
+        assert!(is_on_page, "{line} is not in\n{page}");
     }
 }
 
 #[rstest]
-fn metrics_tell_work_from_upkeep() {
+fn metrics_count_tasks_messages_and_table_requests() {
     block_on(async {
-        let site = site().await;
+        let site = start_site().await;
         let body = json!({"tasks": [
             {"kind": "honorific", "declared_run_time": "1ms", "input": "{\"run_ms\":1}"},
         ]});
         let callers = site.plan.callers(1);
         let reply = site.client.submit(callers, "letters", "k1", &body).await;
-        assert_eq!(reply.expect("an answer comes").status, 200);
-        let mut owner = String::new();
+        assert_eq!(reply.expect("the server replies").status, 200);
+        let mut owner_page = String::new();
         for number in 0..site.plan.entries() {
             let page = metrics(&site, site.plan.entry_operators(number)).await;
             if page.contains("chestnutrun_ownership_epoch{shard=\"0\"} 1") {
-                owner = page;
+                owner_page = page;
             }
         }
         assert_shows(
-            &owner,
+            &owner_page,
             &[
                 "chestnutrun_contract_tasks{contract=\"letters\",state=\"running\"} 0",
                 "chestnutrun_contract_tasks{contract=\"letters\",state=\"waiting\"} 0",
@@ -69,20 +70,20 @@
                 "chestnutrun_table_requests_total{operation=\"write\",outcome=\"done\"}",
             ],
         );
-        let asked = metrics(&site, site.plan.entry_operators(1)).await;
+        let submission_page = metrics(&site, site.plan.entry_operators(1)).await;
         assert_shows(
-            &asked,
+            &submission_page,
             &[
                 "chestnutrun_replies_total{kind=\"answered\"} 1",
                 "chestnutrun_response_time_seconds_count{outcome=\"answered\"} 1",
             ],
         );
-        let mut agents = String::new();
+        let mut agent_pages = String::new();
         for number in 0..site.plan.endpoints() {
-            agents += &metrics(&site, site.plan.agent_operators(number)).await;
+            agent_pages += &metrics(&site, site.plan.agent_operators(number)).await;
         }
         assert_shows(
-            &agents,
+            &agent_pages,
             &[
                 "chestnutrun_run_time_seconds_count{outcome=\"completed\"} 1",
                 "chestnutrun_tasks_total{outcome=\"completed\"} 1",
@@ -95,7 +96,7 @@
 
 fn threads(process: &SiteProcess) -> Vec<String> {
     let folder = format!("/proc/{}/task", process.id());
-    let tasks = fs::read_dir(folder).expect("the process runs");
+    let tasks = fs::read_dir(folder).expect("the process is running");
     tasks
         .flatten()
         .filter_map(|task| fs::read_to_string(task.path().join("comm")).ok())
@@ -103,13 +104,14 @@
         .collect()
 }
 
-/// Name of the one thread that a library starts: the HTTP library's timers.
+/// Name of the timer thread of the HTTP library, the only thread that a library
+/// starts.
 const LIBRARY_THREAD: &str = "futures-timer";
 
 #[rstest]
-fn an_idle_process_has_one_loop_and_little_memory() {
+fn an_idle_process_has_one_thread_and_little_memory() {
     block_on(async {
-        let site = site().await;
+        let site = start_site().await;
         for process in site.entries.iter().chain(&site.agents) {
             let mut threads = threads(process);
             threads.retain(|name| name != LIBRARY_THREAD);
--- a/crates/bench/tests/scenarios.rs
+++ b/crates/bench/tests/scenarios.rs
@@ -1,7 +1,8 @@
 //! Runs every scenario and compares its session with the golden file.
 //!
-//! `UPDATE_GOLDEN=1` writes the golden files; `CHESTNUTRUN_VARIANTS` runs so
-//! many variants of each scenario, and `CHESTNUTRUN_VARIANT` one of them.
+//! `UPDATE_GOLDEN=1` updates the golden files. `CHESTNUTRUN_VARIANTS` is the number
+//! of variants of each scenario to run; `CHESTNUTRUN_VARIANT` is the number of a
+//! single variant to run instead.
 
 use {
     chestnutrun_bench::{
@@ -17,39 +18,45 @@
     },
 };
 
-/// Most sites at once, so that bounds on time do not depend on the machine.
+/// Maximum number of sites that run at once, so that the scenarios' time limits hold
+/// whatever number of tests the machine runs in parallel.
 const MAX_SITES: usize = 4;
 
-/// Sites that run now.
-static SITES: Mutex<usize> = Mutex::new(0);
+/// Number of sites that are running.
+static RUNNING_SITES: Mutex<usize> = Mutex::new(0);
 
-/// Tells that a site ended.
+/// Notified when a site has ended.
 static SITE_ENDED: Condvar = Condvar::new();
 
-/// Leave to bring up a site.
-struct Leave;
+/// Permission to run a site, given back on drop.
+struct SitePermit;
 
-impl Leave {
-    fn take() -> Self {
-        let sites = SITES.lock().expect("no test holds the lock and fails");
+impl SitePermit {
+    /// Waits until fewer than `MAX_SITES` sites are running.
+    fn acquire() -> Self {
+        let sites = RUNNING_SITES
+            .lock()
+            .expect("no test panics while it holds the lock");
         let mut sites = SITE_ENDED
             .wait_while(sites, |sites| *sites >= MAX_SITES)
-            .expect("no test holds the lock and fails");
+            .expect("no test panics while it holds the lock");
         *sites += 1;
         Self
     }
 }
 
-impl Drop for Leave {
+impl Drop for SitePermit {
     fn drop(&mut self) {
-        *SITES.lock().expect("no test holds the lock and fails") -= 1;
+        *RUNNING_SITES
+            .lock()
+            .expect("no test panics while it holds the lock") -= 1;
         SITE_ENDED.notify_one();
     }
 }
 
 #[rstest]
 fn scenario(#[files("tests/scenarios/*.yaml")] path: PathBuf) {
-    let name = path.file_stem().expect("a file has a name");
+    let name = path.file_stem().expect("a scenario file has a name");
     let name = name.to_string_lossy().into_owned();
     if is_known_red(&name) {
         println!("{name}: known red, passed over");
@@ -61,10 +68,10 @@
 }
 
 fn run_once(name: &str, path: &Path, variant: u64) {
-    let text = fs::read_to_string(path).expect("the file can be read");
-    let scenario = Scenario::parse(&text).expect("the file is a scenario");
-    let _leave = Leave::take();
-    let run = block_on(run_scenario(scenario, variant)).expect("the site comes up");
+    let text = fs::read_to_string(path).expect("the scenario file can be read");
+    let scenario = Scenario::parse(&text).expect("the scenario file is valid");
+    let _permit = SitePermit::acquire();
+    let run = block_on(run_scenario(scenario, variant)).expect("the site starts");
     for figure in &run.figures {
         println!("{name}: {figure}");
     }
@@ -79,8 +86,13 @@
         fs::write(golden, session).expect("the golden file can be written");
         return;
     }
-    let expected = fs::read_to_string(golden).expect("there is a golden file");
-    assert_eq!(session, expected, "{} differs", golden.display());
+    let expected = fs::read_to_string(golden).expect("the golden file can be read");
+    assert_eq!(
+        session,
+        expected,
+        "the session differs from {}",
+        golden.display()
+    );
 }
 
 /// Returns the variants to run; variant 0 is the scenario as it is written.
@@ -92,7 +104,7 @@
     }
 }
 
-/// Whether the list of known faults names the scenario.
+/// Returns true if `KNOWN-RED.txt` lists the scenario.
 fn is_known_red(name: &str) -> bool {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let list = fs::read_to_string(root.join("KNOWN-RED.txt")).unwrap_or_default();
--- a/crates/bench/tests/smoke.rs
+++ b/crates/bench/tests/smoke.rs
@@ -1,4 +1,5 @@
-//! One request through every process and back.
+//! Tests that a job completes and that agents connect to every entry, against
+//! running processes.
 
 use {
     chestnutrun_bench::site::{Site, SitePlan, block_on},
@@ -12,22 +13,22 @@
 #[case::at_the_owner(0)]
 #[case::at_another_entry(1)]
 #[case::at_a_third_entry(2)]
-fn a_job_is_answered_whole(#[case] entry: u16) {
+fn a_job_completes_at_each_entry(#[case] entry: u16) {
     block_on(async move {
         let plan = SitePlan::builder().endpoints(2).build();
-        let site = Site::start(plan).await.expect("the site comes up");
+        let site = Site::start(plan).await.expect("the site starts");
         let contract = Site::contract("letters").in_flight_limit(8).build();
         let contract = contract.expect("the contract is valid");
         site.create_contract(&contract)
             .await
-            .expect("it is in force");
+            .expect("the contract comes into force");
         let body = json!({"tasks": [
             {"kind": "honorific", "declared_run_time": "1ms", "input": "{\"run_ms\":1}"},
             {"kind": "stamp", "declared_run_time": "1ms", "input": "{\"run_ms\":1}"},
         ]});
         let callers = site.plan.callers(entry);
         let reply = site.client.submit(callers, "letters", "k1", &body).await;
-        let reply = reply.expect("an answer comes");
+        let reply = reply.expect("the server replies");
         assert_eq!(reply.status, 200, "{}", reply.body);
         let expected = json!({
             "contract": "letters",
@@ -44,10 +45,10 @@
     });
 }
 
-/// Sites that are brought up one after another.
+/// Number of sites that the test starts, one after another.
 const SITES: usize = 8;
 
-/// How long a site may take until every process is linked.
+/// Time within which every agent of a site has to be linked to every entry.
 const LINKED_WITHIN: Duration = Duration::from_secs(10);
 
 #[test]
@@ -55,10 +56,13 @@
     for _ in 0..SITES {
         block_on(async {
             let plan = SitePlan::builder().endpoints(2).build();
-            let site = Site::start(plan).await.expect("the site comes up");
-            let by = Instant::now() + LINKED_WITHIN;
+            let site = Site::start(plan).await.expect("the site starts");
+            let deadline = Instant::now() + LINKED_WITHIN;
             while !site.is_complete().await {
-                assert!(Instant::now() < by, "an agent lacks a link to an entry");
+                assert!(
+                    Instant::now() < deadline,
+                    "an agent lacks a link to an entry"
+                );
                 sleep(Duration::from_millis(20)).await;
             }
             site.close();
--- a/crates/bench/tests/tls.rs
+++ b/crates/bench/tests/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards callers and operators, over a real process.
+//! Tests of TLS for callers and operators, against a running entry.
 
 use {
     chestnutrun_bench::site::{SitePlan, SiteProcess, block_on},
@@ -18,7 +18,7 @@
     tokio::time::sleep,
 };
 
-/// An entry with TLS, and what a client needs to trust it.
+/// A running entry with TLS, and its certificate, which clients trust.
 struct TlsEntry {
     process: SiteProcess,
     folder: PathBuf,
@@ -33,27 +33,27 @@
         let callers = plan.callers(0);
         let operators = plan.entry_operators(0);
         let folder = std::env::temp_dir().join(format!("chestnutrun-tls-{}", callers.ip()));
-        fs::create_dir_all(&folder).expect("a folder can be made");
+        fs::create_dir_all(&folder).expect("the folder can be created");
         let names = [callers.ip().to_string()];
-        let made = generate_simple_self_signed(names).expect("a certificate can be made");
+        let made = generate_simple_self_signed(names).expect("a certificate can be generated");
         let CertifiedKey { cert, signing_key } = made;
         write(&folder, "certificate.pem", &cert.pem());
         write(&folder, "key.pem", &signing_key.serialize_pem());
         write(&folder, "token", "a-token-for-the-test");
-        let at = folder.display();
-        let tls = format!("certificate_file: {at}/certificate.pem\n  key_file: {at}/key.pem");
+        let path = folder.display();
+        let tls = format!("certificate_file: {path}/certificate.pem\n  key_file: {path}/key.pem");
         let settings = format!(
             "name: entry-0\nzone: a\ncallers: {callers}\noperators: {operators}\n\
-             inner: {}\ntable: {}\nsite_token_file: {at}/token\noperator_token_file: {at}/token\n\
+             inner: {}\ntable: {}\nsite_token_file: {path}/token\noperator_token_file: {path}/token\n\
              callers_tls:\n  {tls}\noperators_tls:\n  {tls}\n",
             plan.inner(0),
             plan.table(),
         );
         write(&folder, "entry-0.yaml", &settings);
-        let arguments = ["--conf".to_owned(), format!("{at}/entry-0.yaml")];
+        let arguments = ["--conf".to_owned(), format!("{path}/entry-0.yaml")];
         let process = SiteProcess::start("entry-0", "chestnutrun-entry", arguments, &folder);
         Self {
-            process: process.expect("it starts"),
+            process: process.expect("the entry starts"),
             folder,
             callers,
             operators,
@@ -63,39 +63,44 @@
 
     async fn client(&self) -> Client {
         let mut roots = RootCertStore::empty();
-        roots.add(self.certificate.clone()).expect("it is a root");
+        roots
+            .add(self.certificate.clone())
+            .expect("the certificate is a valid root");
         let config = ClientConfig::builder()
             .with_root_certificates(roots)
             .with_no_client_auth();
         let connector = Connector::default().rustls(config);
         let client = Client::builder().connector::<&str>(connector);
-        client.build(SharedCfg::default()).await.expect("a client")
+        client
+            .build(SharedCfg::default())
+            .await
+            .expect("the client can be created")
     }
 
     fn close(mut self) {
         self.process.kill();
-        // A folder that stays behind does no harm.
+        // A folder that cannot be removed does no harm.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
 fn write(folder: &Path, name: &str, text: &str) {
-    fs::write(folder.join(name), text).expect("it can be written");
+    fs::write(folder.join(name), text).expect("the file can be written");
 }
 
-/// Asks until the entry listens; returns status and body.
+/// Sends the request again until the entry listens; returns status and body.
 async fn get(client: &Client, url: &str) -> (u16, String) {
-    let by = Instant::now() + Duration::from_secs(10);
+    let deadline = Instant::now() + Duration::from_secs(10);
     loop {
         match client.get(url).send().await {
             Ok(res) => {
-                let buf = res.body().await.expect("a body");
+                let buf = res.body().await.expect("the body can be read");
                 return (
                     res.status().as_u16(),
                     String::from_utf8_lossy(&buf).into_owned(),
                 );
             }
-            Err(error) => assert!(Instant::now() < by, "{url}: {error}"),
+            Err(error) => assert!(Instant::now() < deadline, "{url}: {error}"),
         }
         sleep(Duration::from_millis(20)).await;
     }
@@ -117,7 +122,7 @@
 }
 
 #[rstest]
-fn plain_http_is_not_answered_where_tls_is_set() {
+fn plain_http_gets_no_response_on_an_address_with_tls() {
     block_on(async {
         let entry = TlsEntry::start();
         let client = entry.client().await;
