--- a/crates/cli/tests/sessions.rs
+++ b/crates/cli/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! The command line against a running site.
+//! Tests of the command line against a running site.
 
 use {
     chestnutrun_bench::site::{Site, SitePlan, SiteProcess, block_on},
@@ -12,7 +12,7 @@
     tokio::time::sleep,
 };
 
-/// A site with one contract and the settings with which commands find it.
+/// A running site with one contract and with a settings file for the commands.
 struct Session {
     site: Site,
 }
@@ -20,7 +20,7 @@
 impl Session {
     async fn start() -> Self {
         let plan = SitePlan::builder().endpoints(2).build();
-        let site = Site::start(plan).await.expect("the site comes up");
+        let site = Site::start(plan).await.expect("the site starts");
         let contract = Site::contract("letters").in_flight_limit(16).build();
         let contract = contract.expect("the contract is valid");
         let created = site.create_contract(&contract).await;
@@ -46,7 +46,7 @@
     }
 
     fn write(&self, name: &str, text: &str) {
-        fs::write(self.site.folder().join(name), text).expect("the folder can be written");
+        fs::write(self.site.folder().join(name), text).expect("the file can be written");
     }
 
     fn run(&self, line: &str) -> Output {
@@ -56,32 +56,34 @@
         command.output().expect("the command runs")
     }
 
-    fn code(&self, line: &str) -> Option<i32> {
+    fn exit_code(&self, line: &str) -> Option<i32> {
         self.run(line).status.code()
     }
 
     fn json(&self, line: &str) -> Value {
         let out = self.run(&format!("{line} --json"));
-        serde_json::from_slice(&out.stdout).expect("it prints JSON")
+        serde_json::from_slice(&out.stdout).expect("the command prints JSON")
     }
 
     fn process(&mut self, name: &str) -> &mut SiteProcess {
-        self.site.process_mut(name).expect("the site has it")
+        self.site
+            .process_mut(name)
+            .expect("the site has the process")
     }
 
-    async fn until_configured(&self, entry: u16) {
-        for _ in 0..TRIES {
+    async fn wait_until_configured(&self, entry: u16) {
+        for _ in 0..MAX_CHECKS {
             let status = self.site.status(entry).await;
             if status["configuration"].as_u64().is_some_and(|at| at > 0) {
                 return;
             }
-            sleep(TRY_INTERVAL).await;
+            sleep(CHECK_INTERVAL).await;
         }
         panic!("entry-{entry} has no configuration");
     }
 
-    async fn until_draining(&self, endpoint: &str, is_draining: bool) {
-        for _ in 0..TRIES {
+    async fn wait_until_draining_is(&self, endpoint: &str, is_draining: bool) {
+        for _ in 0..MAX_CHECKS {
             let pages = self.json("status");
             let owner = pages.as_array().into_iter().flatten();
             let mut endpoints = owner
@@ -91,17 +93,17 @@
             if found.is_some_and(|page| page["draining"] == is_draining) {
                 return;
             }
-            sleep(TRY_INTERVAL).await;
+            sleep(CHECK_INTERVAL).await;
         }
         panic!("draining of {endpoint} did not become {is_draining}");
     }
 }
 
-/// How often a change is looked for before it is taken as lost.
-const TRIES: u32 = 50;
+/// Number of checks for an awaited change before the test fails.
+const MAX_CHECKS: u32 = 50;
 
-/// Time between two looks.
-const TRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two checks for an awaited change.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 fn text(buf: &[u8]) -> String {
     String::from_utf8_lossy(buf).into_owned()
@@ -110,7 +112,7 @@
 const SUBMIT: &str = "submit --contract letters --kind letter --input {\"run_ms\":5}";
 
 #[rstest]
-fn a_caller_submits_and_asks() {
+fn a_caller_submits_jobs_and_fetches_results() {
     block_on(async {
         let session = Session::start().await;
         let out = session.run(&format!("{SUBMIT} --key k1 --count 2"));
@@ -121,28 +123,31 @@
         let page = session.json("result --contract letters k1");
         assert_eq!(page["status"], json!("complete"));
         let slow = "submit --contract letters --kind letter --input {\"run_ms\":500}";
-        assert_eq!(session.code(&format!("{slow} --key k2 --wait 0s")), Some(6));
-        let asked = session.code("result --contract letters k2 --wait 5s");
+        assert_eq!(
+            session.exit_code(&format!("{slow} --key k2 --wait 0s")),
+            Some(6)
+        );
+        let asked = session.exit_code("result --contract letters k2 --wait 5s");
         assert_eq!(asked, Some(0));
         session.site.close();
     });
 }
 
 #[rstest]
-fn exit_codes_say_what_is_certain() {
+fn exit_codes_tell_what_is_known_of_a_job() {
     block_on(async {
         let session = Session::start().await;
-        assert_eq!(session.code(&format!("{SUBMIT} --key k1")), Some(0));
+        assert_eq!(session.exit_code(&format!("{SUBMIT} --key k1")), Some(0));
         let other_body = format!("{SUBMIT} --key k1 --count 2");
-        assert_eq!(session.code(&other_body), Some(3));
+        assert_eq!(session.exit_code(&other_body), Some(3));
         let fails = "submit --contract letters --kind x --input {\"fails\":true}";
-        assert_eq!(session.code(fails), Some(1));
+        assert_eq!(session.exit_code(fails), Some(1));
         let nobody = format!("{SUBMIT} --callers 127.0.0.1:1");
-        assert_eq!(session.code(&nobody), Some(5));
+        assert_eq!(session.exit_code(&nobody), Some(5));
         let no_token = "submit --contract stamps --kind x";
-        assert_eq!(session.code(no_token), Some(2));
+        assert_eq!(session.exit_code(no_token), Some(2));
         let mistyped = "submit --contract letters --kidn x";
-        assert_eq!(session.code(mistyped), Some(2));
+        assert_eq!(session.exit_code(mistyped), Some(2));
         session.site.close();
     });
 }
@@ -169,7 +174,7 @@
     block_on(async {
         let session = Session::start().await;
         let pages = session.json("status");
-        let pages = pages.as_array().expect("it is a list");
+        let pages = pages.as_array().expect("the output is a list");
         let names: Vec<&str> = pages.iter().filter_map(|p| p["process"].as_str()).collect();
         assert_eq!(names.len(), 5, "{names:?}");
         let shown = text(&session.run("status").stdout);
@@ -180,12 +185,12 @@
 }
 
 #[rstest]
-fn a_time_line_tells_a_job_from_its_submission_to_its_answer() {
+fn a_timeline_shows_a_job_from_its_submission_to_its_answer() {
     block_on(async {
         let session = Session::start().await;
-        assert_eq!(session.code(&format!("{SUBMIT} --key k1")), Some(0));
+        assert_eq!(session.exit_code(&format!("{SUBMIT} --key k1")), Some(0));
         let events = session.json("timeline --job k1");
-        let events = events.as_array().expect("it is a list");
+        let events = events.as_array().expect("the output is a list");
         let mut kinds: Vec<&str> = events.iter().filter_map(|e| e["kind"].as_str()).collect();
         kinds.retain(|kind| *kind != "receipt");
         let expected = [
@@ -198,13 +203,19 @@
         ];
         assert_eq!(kinds, expected);
         let submitted = events[0]["process"].as_str();
-        assert_eq!(submitted, Some("entry-1"), "where the caller asked");
+        assert_eq!(
+            submitted,
+            Some("entry-1"),
+            "the entry that got the submission"
+        );
         let file = session.site.folder().join("trace.json");
         let line = format!("timeline --format trace --out {}", file.display());
-        assert_eq!(session.code(&line), Some(0));
+        assert_eq!(session.exit_code(&line), Some(0));
         let trace = fs::read_to_string(file).expect("the file is written");
-        let trace: Value = serde_json::from_str(&trace).expect("it is JSON");
-        let trace = trace["traceEvents"].as_array().expect("it has events");
+        let trace: Value = serde_json::from_str(&trace).expect("the file is JSON");
+        let trace = trace["traceEvents"]
+            .as_array()
+            .expect("the trace has events");
         assert!(trace.len() > 10);
         session.site.close();
     });
@@ -218,7 +229,7 @@
         let good = format!(
             "check-config {folder}/entry-0.yaml {folder}/agent-0.yaml {folder}/settings.yaml"
         );
-        assert_eq!(session.code(&good), Some(0));
+        assert_eq!(session.exit_code(&good), Some(0));
         session.write("bad.yaml", "callers: 127.0.0.1:80\noperatrs: []\n");
         let out = session.run(&format!("check-config {folder}/bad.yaml"));
         assert_eq!(out.status.code(), Some(2));
@@ -238,14 +249,33 @@
             "contract create stamps --urgency 3 --contract-token-file {}",
             token.display()
         );
-        assert_eq!(session.code(&create), Some(0));
-        assert_eq!(session.code(&create), Some(4), "it exists already");
+        assert_eq!(session.exit_code(&create), Some(0));
+        assert_eq!(
+            session.exit_code(&create),
+            Some(4),
+            "the contract exists already"
+        );
         let first = session.json("contract show stamps");
-        assert_eq!(first["urgency"], json!(3), "it is in force at once");
-        assert_eq!(session.code("contract change stamps --weight 7"), Some(0));
+        assert_eq!(
+            first["urgency"],
+            json!(3),
+            "the contract is in force at once"
+        );
+        assert_eq!(
+            session.exit_code("contract change stamps --weight 7"),
+            Some(0)
+        );
         let second = session.json("contract show stamps");
-        assert_eq!(second["weight"], json!(7), "it is in force at once");
-        assert_eq!(second["urgency"], json!(3), "what was not named stays");
+        assert_eq!(
+            second["weight"],
+            json!(7),
+            "the contract is in force at once"
+        );
+        assert_eq!(
+            second["urgency"],
+            json!(3),
+            "an option that is not given changes nothing"
+        );
         let stale = format!(
             "contract change stamps --weight 9 --revision {}",
             first["revision"]
@@ -264,24 +294,31 @@
             "submit --contract stamps --token-file {} --kind stamp",
             token.display()
         );
-        assert_eq!(session.code(&submit), Some(0));
+        assert_eq!(session.exit_code(&submit), Some(0));
         session.site.close();
     });
 }
 
+/// The restarted entry has no link to the frozen agent, but other entries have one.
 #[rstest]
-fn an_endpoint_drains_though_the_first_entry_has_not_met_its_agent() {
+fn an_endpoint_drains_though_the_first_entry_has_no_link_to_its_agent() {
     block_on(async {
         let mut session = Session::start().await;
-        session.process("agent-0").signal("STOP").expect("it runs");
+        session
+            .process("agent-0")
+            .signal("STOP")
+            .expect("the agent is running");
         let entry = session.process("entry-0");
         entry.kill();
-        entry.restart().expect("it starts again");
-        session.until_configured(0).await;
+        entry.restart().expect("the entry restarts");
+        session.wait_until_configured(0).await;
         let out = session.run("drain endpoint-0");
         let shown = text(&out.stdout) + &text(&out.stderr);
         assert_eq!(out.status.code(), Some(0), "{shown}");
-        session.process("agent-0").signal("CONT").expect("it runs");
+        session
+            .process("agent-0")
+            .signal("CONT")
+            .expect("the agent is running");
         session.site.close();
     });
 }
@@ -293,12 +330,12 @@
         let out = session.run("drain endpoint-0");
         let shown = text(&out.stdout) + &text(&out.stderr);
         assert!(shown.ends_with("in force at 3 of 3 entries\n"), "{shown}");
-        // A change right after a change does not conflict with it.
-        assert_eq!(session.code("undrain endpoint-0"), Some(0));
-        assert_eq!(session.code("drain endpoint-0"), Some(0));
-        session.until_draining("endpoint-0", true).await;
-        assert_eq!(session.code("undrain endpoint-0"), Some(0));
-        session.until_draining("endpoint-0", false).await;
+        // A change right after another one does not conflict with it.
+        assert_eq!(session.exit_code("undrain endpoint-0"), Some(0));
+        assert_eq!(session.exit_code("drain endpoint-0"), Some(0));
+        session.wait_until_draining_is("endpoint-0", true).await;
+        assert_eq!(session.exit_code("undrain endpoint-0"), Some(0));
+        session.wait_until_draining_is("endpoint-0", false).await;
         let out = session.run("drain endpoint-9");
         assert_eq!(out.status.code(), Some(2));
         let shown = text(&out.stderr);
