--- a/crates/agent/src/arguments.rs
+++ b/crates/agent/src/arguments.rs
@@ -1,21 +1,22 @@
-//! Arguments of the daemon.
+//! Command-line arguments of the agent.
 
 use {bpaf::Bpaf, std::path::PathBuf};
 
-/// Guards one endpoint of chestnutrun and runs its tasks.
+/// Agent of chestnutrun: starts tasks at the endpoint beside it.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options, version, generate(arguments))]
 pub struct Arguments {
     /// Settings file, in YAML.
     #[bpaf(long("conf"), argument("FILE"))]
     pub conf: PathBuf,
-    /// Check the settings file and stop.
+    /// Check the settings file and exit.
     #[bpaf(long("check-config"), switch)]
     pub check_config: bool,
 }
 
 impl Arguments {
-    /// Reads the arguments of this process; stops it where they are wrong.
+    /// Parses the arguments of this process; prints the error and exits if they are
+    /// not valid.
     #[must_use]
     pub fn parse() -> Self {
         arguments().run()
--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -1,4 +1,5 @@
-//! The agent's loop: front end of its machine.
+//! The agent's loop: passes events to its decision machine and executes the actions
+//! that the machine returns.
 
 use {
     crate::{
@@ -30,19 +31,19 @@
     },
 };
 
-/// How often the machine is told that time passed.
+/// Interval between the ticks of the decision machine.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Most events that wait for the loop.
+/// Capacity of each event queue of the loop.
 const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// Messages of a start that was refused: the start and its refusal.
+/// Messages wasted by a refused start: the start and the refusal.
 const REFUSED_START_MESSAGES: u64 = 2;
 
-/// How long the last messages get to leave before the process ends.
-const LINGER: Duration = Duration::from_millis(200);
+/// How long the process waits for its last messages to be sent before it exits.
+const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// Front end of one agent's machine.
+/// Loop of one agent, with its decision machine, links and endpoint.
 #[derive(Debug)]
 pub struct AgentDaemon {
     conf: AgentConf,
@@ -53,14 +54,16 @@
     endpoint: Box<dyn Endpoint>,
     metrics: Metrics,
     timeline: Timeline,
+    /// Queue of the loop, for runs that end.
     tx: Sender<Event>,
+    /// When the agent exits at the latest; set once it is told to stop.
     stop_by: Option<Instant>,
 }
 
-/// Runs an agent until it is told to stop.
+/// Runs an agent until SIGTERM or SIGINT stops it.
 ///
 /// # Errors
-/// Returns an error where the agent cannot start.
+/// Returns an error if the agent cannot start.
 pub async fn run(arguments: Arguments) -> Result<(), AgentError> {
     let conf: AgentConf = load(&arguments.conf)?;
     if arguments.check_config {
@@ -76,7 +79,7 @@
     let (tx, rx) = channel(MAX_QUEUED_EVENTS);
     let (link_tx, link_rx) = channel(MAX_QUEUED_EVENTS);
     ntex::rt::spawn(operators::serve(listener, tx.clone()));
-    let hello = hello(&conf);
+    let hello = agent_hello(&conf);
     let links = Links::open(
         site_token.trim().into(),
         hello.clone(),
@@ -101,7 +104,7 @@
     daemon.serve(rx, link_rx).await
 }
 
-fn hello(conf: &AgentConf) -> AgentHello {
+fn agent_hello(conf: &AgentConf) -> AgentHello {
     AgentHello {
         endpoint: conf.endpoint.as_str().into(),
         incarnation: Now::read().incarnation(),
@@ -128,14 +131,16 @@
                 Some(event) = rx.recv() => self.event(event),
                 Some(event) = link_rx.recv() => self.link_event(event),
                 _ = tick.tick() => self.input(AgentInput::Tick),
-                _ = terminate.recv() => self.leave(),
-                _ = interrupt.recv() => self.leave(),
+                _ = terminate.recv() => self.begin_stop(),
+                _ = interrupt.recv() => self.begin_stop(),
             }
         }
         self.close().await;
         Ok(())
     }
 
+    /// Returns whether the agent can exit: it was told to stop, and its running tasks
+    /// have ended or its time to stop is over.
     fn is_done(&self) -> bool {
         match self.stop_by {
             None => false,
@@ -143,8 +148,8 @@
         }
     }
 
-    /// Takes nothing new; a second call ends the wait for what runs.
-    fn leave(&mut self) {
+    /// Stops accepting tasks; a second call stops waiting for the running ones.
+    fn begin_stop(&mut self) {
         if self.stop_by.is_some() {
             self.stop_by = Some(Instant::now());
             return;
@@ -157,13 +162,17 @@
         self.input(AgentInput::Leave);
     }
 
+    /// Sends the jobs in the agent's records to the entries and closes the links.
     async fn close(self) {
         if self.machine.running() > 0 {
-            log::warn!("{} tasks were cut off", self.machine.running());
+            log::warn!(
+                "stopping with {} tasks still running at the endpoint",
+                self.machine.running()
+            );
         }
         let jobs = self.machine.key_hashes();
         self.links.send_all(&Message::Departed(jobs));
-        sleep(LINGER).await;
+        sleep(FLUSH_TIME).await;
         self.links.close();
         self.metrics.close();
         log::info!("agent of endpoint {} stopped", self.conf.endpoint);
@@ -171,7 +180,7 @@
 
     fn event(&mut self, event: Event) {
         match event {
-            Event::Ran(task, outcome) => {
+            Event::RunEnded(task, outcome) => {
                 self.metrics.task(outcome_name(&outcome));
                 let endpoint = self.hello.endpoint.clone();
                 let detail = outcome_name(&outcome);
@@ -185,7 +194,7 @@
                 self.input(AgentInput::RunEnded(task, outcome));
             }
             Event::Page(page, reply) => {
-                // An operator who went away needs no page.
+                // The operator may have disconnected.
                 let _ = reply.send(self.page(page));
             }
         }
@@ -193,12 +202,12 @@
 
     fn link_event(&mut self, event: LinkEvent) {
         match event {
-            LinkEvent::Up(link, _) => self.links.up(link),
+            LinkEvent::Up(link, _) => self.links.add(link),
             LinkEvent::Message(id, message) => self.message(id, message),
-            // Leases of ownerships are confirmed by messages of their own.
+            // Leases are renewed by `Confirmation` messages, not by signs of life.
             LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => {
-                if let Some(entry) = self.links.down(id) {
+                if let Some(entry) = self.links.remove(id) {
                     self.timeline.process(
                         SystemTime::now(),
                         EventKind::LinkDown,
@@ -213,7 +222,7 @@
     fn message(&mut self, id: LinkId, message: Message) {
         self.metrics.received("entry", message.kind());
         if let Message::Hello(Hello::Entry(member)) = message {
-            self.links.name(id, member.clone());
+            self.links.set_peer(id, member.clone());
             self.timeline.process(
                 SystemTime::now(),
                 EventKind::LinkUp,
@@ -223,13 +232,13 @@
             return;
         }
         let Some(entry) = self.links.entry(id).cloned() else {
-            log::warn!("message on a link without a name");
+            log::warn!("dropped a message that arrived before the entry's hello");
             return;
         };
         match message {
-            Message::Members(list) => self.links.follow(&list),
+            Message::Members(list) => self.links.update_members(&list),
             Message::Configuration(configuration) => {
-                self.note_configuration(configuration.revision);
+                self.record_configuration(configuration.revision);
                 self.configuration.merge(&configuration);
                 let draining = self.configuration.is_draining(&self.hello.endpoint);
                 self.input(AgentInput::Configured {
@@ -243,15 +252,16 @@
             Message::Fence(fence) => self.input(AgentInput::Fence(entry, fence)),
             Message::Start(start) => self.input(AgentInput::Start(entry, start)),
             Message::Lookup(lookup) => self.input(AgentInput::Lookup(entry, lookup)),
-            other => log::warn!("message that is not for an agent: {other:?}"),
+            other => log::warn!("dropped a message that entries do not send to agents: {other:?}"),
         }
     }
 
+    /// Passes an input to the decision machine and executes its actions.
     fn input(&mut self, input: AgentInput) {
         for action in self.machine.handle(Now::read(), input) {
             match action {
                 AgentAction::Send(entry, message) => self.send(&entry, to_wire(message)),
-                AgentAction::Run(start) => self.start(start),
+                AgentAction::Run(start) => self.start_run(start),
             }
         }
     }
@@ -259,13 +269,13 @@
     fn send(&mut self, entry: &EntryId, message: Message) {
         self.metrics.sent("entry", message.kind());
         if let Message::StartRefused(refused) = &message {
-            self.note_refusal(refused);
+            self.record_refusal(refused);
         }
         self.links.send(entry, message);
     }
 
-    /// Notes a configuration that is newer than the one in force.
-    fn note_configuration(&mut self, revision: Revision) {
+    /// Records a configuration on the timeline if it is newer than the current one.
+    fn record_configuration(&mut self, revision: Revision) {
         if revision > self.machine.configuration() {
             let detail = revision.to_string();
             self.timeline
@@ -273,7 +283,8 @@
         }
     }
 
-    fn note_refusal(&mut self, refused: &StartRefused) {
+    /// Counts a refused start and records it on the timeline.
+    fn record_refusal(&mut self, refused: &StartRefused) {
         self.metrics.start_refused(refusal_name(refused.reason));
         self.metrics.wasted(REFUSED_START_MESSAGES, "start-refused");
         self.timeline.task(
@@ -285,7 +296,7 @@
         );
     }
 
-    fn start(&mut self, start: Start) {
+    fn start_run(&mut self, start: Start) {
         let endpoint: EndpointId = self.hello.endpoint.clone();
         self.timeline.task(
             SystemTime::now(),
@@ -301,8 +312,8 @@
         ntex::rt::spawn(async move {
             let outcome = run.await;
             stopwatch.close(outcome_name(&outcome));
-            // The loop is gone only when the process ends.
-            let _ = tx.send(Event::Ran(task, outcome)).await;
+            // Sending fails only if the loop has ended, and then the process ends.
+            let _ = tx.send(Event::RunEnded(task, outcome)).await;
         });
     }
 
--- a/crates/agent/src/endpoint.rs
+++ b/crates/agent/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The border between the agent and its endpoint.
+//! Interface between the agent and its endpoint.
 
 use {
     chestnutrun_decisions::agent::RunOutcome,
@@ -6,11 +6,11 @@
     std::{fmt, future::Future, pin::Pin},
 };
 
-/// A run that ends later, on the same loop.
-pub type Run = Pin<Box<dyn Future<Output = RunOutcome>>>;
+/// Pending outcome of a run; resolves on the thread of the agent's loop.
+pub type RunFuture = Pin<Box<dyn Future<Output = RunOutcome>>>;
 
-/// The endpoint beside the agent.
+/// Endpoint beside the agent, which executes tasks.
 pub trait Endpoint: fmt::Debug {
-    /// Runs a task once; the run is not repeated, whatever happens.
-    fn run(&self, start: Start) -> Run;
+    /// Runs a task at most once: a run that fails is not retried.
+    fn run(&self, start: Start) -> RunFuture;
 }
--- a/crates/agent/src/errors.rs
+++ b/crates/agent/src/errors.rs
@@ -1,29 +1,29 @@
-//! Errors that keep an agent from starting.
+//! Errors that prevent the agent from starting.
 
 use {
     chestnutrun_observe::MetricsError, chestnutrun_settings::ConfError, std::net::SocketAddr,
     thiserror::Error,
 };
 
-/// Why an agent does not start.
+/// Why the agent cannot start.
 #[derive(Debug, Error)]
 pub enum AgentError {
-    /// The settings are wrong.
+    /// The settings are not valid.
     #[error(transparent)]
     Conf(#[from] ConfError),
-    /// An address cannot be listened on.
+    /// The agent cannot listen on an address.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    /// A file with a secret cannot be read.
-    #[error("cannot read the site's token: {0}")]
+    /// The file with the site's token cannot be read.
+    #[error("cannot read the file with the site's token: {0}")]
     Token(std::io::Error),
-    /// Signals cannot be waited for.
-    #[error("cannot wait for signals: {0}")]
+    /// The handler of SIGTERM or SIGINT cannot be installed.
+    #[error("cannot install a signal handler: {0}")]
     Signal(std::io::Error),
-    /// The client for the endpoint cannot be made.
-    #[error("cannot make a client for the endpoint: {0}")]
+    /// The HTTP client for the endpoint cannot be set up.
+    #[error("cannot set up the HTTP client for the endpoint: {0}")]
     Client(String),
-    /// Metrics cannot be kept.
+    /// The metrics cannot be set up.
     #[error(transparent)]
     Metrics(#[from] MetricsError),
 }
--- a/crates/agent/src/event.rs
+++ b/crates/agent/src/event.rs
@@ -1,27 +1,27 @@
-//! What the agent's loop waits for.
+//! Events of the agent's loop.
 
 use {chestnutrun_decisions::agent::RunOutcome, chestnutrun_types::TaskRef, tokio::sync::oneshot};
 
-/// What the agent's loop waits for, besides links.
+/// Event for the agent's loop; events of links have a queue of their own.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// A run at the endpoint ended.
-    Ran(TaskRef, RunOutcome),
-    /// An operator asks for a page.
+    /// The run of a task at the endpoint ended.
+    RunEnded(TaskRef, RunOutcome),
+    /// An operator requests a page; the reply is an HTTP status code and a body.
     Page(Page, oneshot::Sender<(u16, String)>),
 }
 
-/// A page for operators.
+/// Page that operators can request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Page {
-    /// Whether the process lives.
+    /// Liveness: the loop answers.
     Live,
-    /// Whether the process may get work.
+    /// Readiness: an entry is linked and the agent is not stopping.
     Ready,
-    /// Metrics in Prometheus format.
+    /// All metrics, in Prometheus format.
     Metrics,
-    /// State in JSON.
+    /// Current state, in JSON.
     Status,
-    /// Recent events in JSON.
+    /// Recent events, in JSON.
     Timeline,
 }
--- a/crates/agent/src/http_endpoint.rs
+++ b/crates/agent/src/http_endpoint.rs
@@ -1,7 +1,7 @@
-//! An endpoint that is served over HTTP.
+//! Runs tasks at an endpoint over HTTP.
 
 use {
-    crate::{AgentError, Endpoint, Run},
+    crate::{AgentError, Endpoint, RunFuture},
     chestnutrun_decisions::agent::RunOutcome,
     chestnutrun_net::was_not_sent,
     chestnutrun_types::{KindId, Start, TaskRef},
@@ -14,31 +14,31 @@
     std::{fmt, net::SocketAddr},
 };
 
-/// Longest answer of an endpoint, in bytes.
-const MAX_ANSWER_BYTES: usize = 12 * 1024 * 1024;
+/// Longest response body of an endpoint, in bytes.
+const MAX_RESPONSE_BYTES: usize = 12 * 1024 * 1024;
 
-/// What the agent sends to its endpoint.
+/// Body of the request that starts a task at the endpoint.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RunRequest {
     /// The task.
     pub task: TaskRef,
-    /// Its kind.
+    /// Kind of work, as the submission names it.
     pub kind: KindId,
-    /// Its input, untouched.
+    /// Input of the task, unchanged from the submission.
     pub input: String,
 }
 
-/// What the endpoint answers.
+/// Body of the endpoint's response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunReply {
-    /// The task completed with an output.
+    /// The task completed with this output.
     Completed(String),
-    /// The task failed with an error.
+    /// The task failed with this error.
     Failed(String),
 }
 
-/// Client of one endpoint.
+/// HTTP client of the endpoint beside the agent.
 pub struct HttpEndpoint {
     url: String,
     client: Client,
@@ -53,16 +53,17 @@
 }
 
 impl HttpEndpoint {
-    /// Makes a client of the endpoint at `address`.
+    /// Creates a client for the endpoint at `address`, with at most `connections`
+    /// open connections.
     ///
     /// # Errors
-    /// Returns an error where the client cannot be set up.
+    /// Returns an error if the HTTP client cannot be set up.
     pub async fn new(address: SocketAddr, connections: u32) -> Result<Self, AgentError> {
         let connections = usize::try_from(connections).unwrap_or(usize::MAX);
         let client = Client::builder()
             .connector::<&str>(Connector::default().limit(connections))
             .disable_timeout()
-            .response_payload_limit(MAX_ANSWER_BYTES)
+            .response_payload_limit(MAX_RESPONSE_BYTES)
             .build(ntex::SharedCfg::default())
             .await
             .map_err(|e| AgentError::Client(format!("{e:?}")))?;
@@ -74,7 +75,7 @@
 }
 
 impl Endpoint for HttpEndpoint {
-    fn run(&self, start: Start) -> Run {
+    fn run(&self, start: Start) -> RunFuture {
         let request = self.client.post(&self.url);
         let body = RunRequest {
             task: start.task,
@@ -88,14 +89,14 @@
 async fn run_once(request: ClientRequest, body: &RunRequest) -> RunOutcome {
     let res = match request.timeout(Millis::ZERO).send_json(body).await {
         Ok(res) => res,
-        Err(error) => return not_answered(&error),
+        Err(error) => return outcome_without_response(&error),
     };
     match res.status() {
         StatusCode::OK => {}
         StatusCode::SERVICE_UNAVAILABLE => return RunOutcome::NotStarted,
         status => return RunOutcome::Failed(format!("endpoint answered with status {status}")),
     }
-    let Ok(buf) = res.body().limit(MAX_ANSWER_BYTES).await else {
+    let Ok(buf) = res.body().limit(MAX_RESPONSE_BYTES).await else {
         return RunOutcome::Unknown;
     };
     match serde_json::from_slice(&buf) {
@@ -105,8 +106,9 @@
     }
 }
 
-/// A request that never got a connection was not sent.
-fn not_answered(error: &ClientError) -> RunOutcome {
+/// Returns the outcome of a request that got no response. The task did not start
+/// if the request was never sent; otherwise nothing is known.
+fn outcome_without_response(error: &ClientError) -> RunOutcome {
     if was_not_sent(error) {
         RunOutcome::NotStarted
     } else {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,4 +1,5 @@
-//! The agent: one small process beside each endpoint.
+//! The agent: a process beside each endpoint that starts tasks there and records
+//! their outcomes.
 
 mod arguments;
 mod daemon;
@@ -12,7 +13,7 @@
 pub use {
     arguments::Arguments,
     daemon::{AgentDaemon, run},
-    endpoint::{Endpoint, Run},
+    endpoint::{Endpoint, RunFuture},
     errors::AgentError,
     http_endpoint::{HttpEndpoint, RunReply, RunRequest},
 };
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -9,7 +9,7 @@
     tokio::sync::mpsc::Sender,
 };
 
-/// Links to entries, by name, and the dialers that keep them open.
+/// Links to entries, and the dialers that keep them open.
 #[derive(Debug)]
 pub(crate) struct Links {
     site_token: Rc<str>,
@@ -17,15 +17,20 @@
     ids: LinkIds,
     events: Sender<LinkEvent>,
     dialers: IndexMap<SocketAddr, Dialer>,
+    /// Open links; an entry that has not sent its hello is in no other map.
     open: IndexMap<LinkId, Link>,
-    names: IndexMap<LinkId, Member>,
-    listed: IndexSet<SocketAddr>,
-    listed_at: Revision,
+    /// The entry at the other end of each link, from its hello.
+    peers: IndexMap<LinkId, Member>,
+    /// Addresses in the newest member list; empty until one was received.
+    member_addresses: IndexSet<SocketAddr>,
+    /// Revision of the newest member list.
+    list_revision: Revision,
+    /// Newest link of each entry.
     by_entry: IndexMap<EntryId, LinkId>,
 }
 
 impl Links {
-    /// Starts to dial the first addresses.
+    /// Starts to dial the seeds, the entries' addresses from the settings.
     pub(crate) fn open(
         site_token: Rc<str>,
         hello: AgentHello,
@@ -39,9 +44,9 @@
             events,
             dialers: IndexMap::new(),
             open: IndexMap::new(),
-            names: IndexMap::new(),
-            listed: IndexSet::new(),
-            listed_at: 0,
+            peers: IndexMap::new(),
+            member_addresses: IndexSet::new(),
+            list_revision: 0,
             by_entry: IndexMap::new(),
         };
         for seed in seeds {
@@ -50,45 +55,46 @@
         links
     }
 
-    /// Dials the entries of the site, as the newest list names them.
+    /// Dials the entries in a member list.
     ///
-    /// Entries read the table at different moments, so an older list may come
-    /// after a newer one; it is passed over. An open link stays, whatever the
-    /// list says; it is not opened again.
-    pub(crate) fn follow(&mut self, list: &MemberList) {
-        if list.members.is_empty() || list.revision < self.listed_at {
+    /// Entries read the table at different moments, so an older list may arrive
+    /// after a newer one; it is ignored. A link to an entry that is no longer
+    /// listed stays open, but is not dialed again after it closes.
+    pub(crate) fn update_members(&mut self, list: &MemberList) {
+        if list.members.is_empty() || list.revision < self.list_revision {
             return;
         }
-        self.listed_at = list.revision;
-        self.listed = list.members.iter().map(|member| member.inner).collect();
-        for address in self.listed.clone() {
+        self.list_revision = list.revision;
+        self.member_addresses = list.members.iter().map(|member| member.inner).collect();
+        for address in self.member_addresses.clone() {
             self.dial(address);
         }
         self.close_unlisted();
     }
 
-    /// Notes an open link whose entry has not named itself yet.
-    pub(crate) fn up(&mut self, link: Link) {
+    /// Adds an open link whose entry has not sent its hello yet.
+    pub(crate) fn add(&mut self, link: Link) {
         self.open.insert(link.id(), link);
     }
 
-    /// Notes the name of the entry at the other end.
-    pub(crate) fn name(&mut self, id: LinkId, member: Member) {
+    /// Records which entry is at the other end of a link.
+    pub(crate) fn set_peer(&mut self, id: LinkId, member: Member) {
         self.by_entry.insert(member.entry.clone(), id);
-        self.names.insert(id, member);
+        self.peers.insert(id, member);
     }
 
-    /// Returns the entry at the other end of a link.
+    /// Returns the entry at the other end of a link; none before the entry's hello.
     pub(crate) fn entry(&self, id: LinkId) -> Option<&EntryId> {
-        self.names.get(&id).map(|member| &member.entry)
+        self.peers.get(&id).map(|member| &member.entry)
     }
 
-    /// Notes a closed link; returns the entry that is now out of reach.
-    pub(crate) fn down(&mut self, id: LinkId) -> Option<EntryId> {
+    /// Removes a closed link; returns its entry if that was the entry's newest
+    /// link, so that the entry is now disconnected.
+    pub(crate) fn remove(&mut self, id: LinkId) -> Option<EntryId> {
         if let Some(link) = self.open.swap_remove(&id) {
             link.close();
         }
-        let entry = self.names.swap_remove(&id)?.entry;
+        let entry = self.peers.swap_remove(&id)?.entry;
         self.close_unlisted();
         if self.by_entry.get(&entry) != Some(&id) {
             return None;
@@ -97,7 +103,8 @@
         Some(entry)
     }
 
-    /// Sends a message to an entry; returns false where it is out of reach.
+    /// Sends a message to an entry; returns false if the entry is not linked or the
+    /// message cannot be queued.
     pub(crate) fn send(&self, entry: &EntryId, message: Message) -> bool {
         self.by_entry
             .get(entry)
@@ -105,12 +112,12 @@
             .is_some_and(|link| link.send(message))
     }
 
-    /// Returns how many entries are linked.
+    /// Returns the number of linked entries.
     pub(crate) fn count(&self) -> usize {
         self.by_entry.len()
     }
 
-    /// Announces the endpoint anew, on open and later links.
+    /// Sends a changed hello on open links and uses it for all later links.
     pub(crate) fn announce(&self, hello: AgentHello) {
         let hello = Hello::Agent(hello);
         *self.hello.borrow_mut() = hello.clone();
@@ -119,27 +126,33 @@
         }
     }
 
-    /// Sends a message to every entry.
+    /// Sends a message to every linked entry.
     pub(crate) fn send_all(&self, message: &Message) {
         for entry in self.by_entry.keys() {
             self.send(entry, message.clone());
         }
     }
 
-    /// Closes every link.
+    /// Closes all dialers and their links.
     pub(crate) fn close(self) {
         for (_, dialer) in self.dialers {
             dialer.close();
         }
     }
 
-    /// Closes the dialers of addresses that the list lacks and no link uses.
+    /// Closes the dialers of addresses that are not in the member list and have no
+    /// open link.
     fn close_unlisted(&mut self) {
-        if self.listed.is_empty() {
+        if self.member_addresses.is_empty() {
             return;
         }
-        let linked = self.names.values().map(|member| member.inner);
-        let kept: IndexSet<SocketAddr> = self.listed.iter().copied().chain(linked).collect();
+        let linked = self.peers.values().map(|member| member.inner);
+        let kept: IndexSet<SocketAddr> = self
+            .member_addresses
+            .iter()
+            .copied()
+            .chain(linked)
+            .collect();
         let dialers = std::mem::take(&mut self.dialers);
         for (address, dialer) in dialers {
             if kept.contains(&address) {
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! Daemon of the agent.
+//! Binary of the agent daemon.
 
 use {
     chestnutrun_agent::{Arguments, run},
--- a/crates/agent/src/operators.rs
+++ b/crates/agent/src/operators.rs
@@ -1,4 +1,4 @@
-//! Pages for operators.
+//! HTTP server for operators: health, metrics, status and recent events.
 
 use {
     crate::event::{Event, Page},
@@ -14,17 +14,17 @@
     },
 };
 
-/// Limits of the operators' address.
+/// HTTP limits of the operators' address.
 const LIMITS: HttpLimits = HttpLimits {
     head_timeout: Duration::from_secs(5),
     keep_alive: Duration::from_secs(5),
     max_headers: 64,
 };
 
-/// Serves the pages until the process ends.
+/// Serves the operators' pages until the process ends.
 pub(crate) async fn serve(listener: TcpListener, tx: Sender<Event>) {
     let page = |page: Page| {
-        web::get().to(move |tx: State<Sender<Event>>| async move { show(&tx, page).await })
+        web::get().to(move |tx: State<Sender<Event>>| async move { respond(&tx, page).await })
     };
     let app = App::new()
         .state(tx)
@@ -36,12 +36,12 @@
     serve_http(listener, app, http_config("operators", LIMITS)).await;
 }
 
-async fn show(tx: &Sender<Event>, page: Page) -> HttpResponse {
-    let (reply, answer) = oneshot::channel();
-    if tx.send(Event::Page(page, reply)).await.is_err() {
+async fn respond(tx: &Sender<Event>, page: Page) -> HttpResponse {
+    let (reply_tx, reply_rx) = oneshot::channel();
+    if tx.send(Event::Page(page, reply_tx)).await.is_err() {
         return HttpResponse::ServiceUnavailable().finish();
     }
-    match answer.await {
+    match reply_rx.await {
         Ok((status, body)) => {
             let status = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
             HttpResponse::build(status).body(body)
