--- a/crates/entry/src/callers/desk.rs
+++ b/crates/entry/src/callers/caller_handle.rs
@@ -20,19 +20,21 @@
     },
 };
 
-/// How long an owner may take to say whether a job is recorded.
+/// Longest wait for the receipt of a job from the owner of its shard.
 const RECEIPT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the handlers share.
+/// Handle through which the handlers of callers' requests reach the loop.
 #[derive(Clone, Debug)]
-pub(crate) struct Desk {
+pub(crate) struct CallerHandle {
+    /// Queue of the loop.
     pub(crate) tx: Sender<Event>,
     pub(crate) limits: RequestLimits,
-    pub(crate) next_waiter: Rc<Cell<WaiterId>>,
+    /// Id of the last waiter.
+    pub(crate) last_waiter: Rc<Cell<WaiterId>>,
 }
 
-impl Desk {
-    /// Submits a job and waits for its answer or, after `wait`, for a receipt.
+impl CallerHandle {
+    /// Submits a job; returns its answer or, if there is none within `wait`, a receipt.
     pub(crate) async fn submit(
         &self,
         token: &str,
@@ -46,45 +48,47 @@
             ..submit.clone()
         };
         let requests = (Request::Submit(submit), Request::Submit(for_receipt));
-        let reply = self.wait(token, requests, wait).await?;
+        let reply = self.reply_or_receipt(token, requests, wait).await?;
         respond(&job, reply, |problem| {
             problem.not_run &= !may_be_older;
         })
     }
 
-    /// Waits for a job's answer or, after `wait`, for its state.
-    pub(crate) async fn ask(
+    /// Returns a job's answer or, if there is none within `wait`, the job's state.
+    pub(crate) async fn query(
         &self,
         token: &str,
         job: JobRef,
         wait: Duration,
     ) -> Result<HttpResponse, Problem> {
         let requests = (Request::Query(job.clone()), Request::Status(job.clone()));
-        self.reply_about(token, &job, requests, wait).await
+        self.respond_about(token, &job, requests, wait).await
     }
 
-    /// Cancels what has not started and waits for the job's answer.
+    /// Cancels a job's tasks that have not started; returns the job's answer or, if
+    /// there is none within the longest wait, its state.
     pub(crate) async fn cancel(&self, token: &str, job: JobRef) -> Result<HttpResponse, Problem> {
         let requests = (Request::Cancel(job.clone()), Request::Status(job.clone()));
         let wait = self.limits.longest_wait;
-        self.reply_about(token, &job, requests, wait).await
+        self.respond_about(token, &job, requests, wait).await
     }
 
-    async fn reply_about(
+    async fn respond_about(
         &self,
         token: &str,
         job: &JobRef,
         requests: (Request, Request),
         wait: Duration,
     ) -> Result<HttpResponse, Problem> {
-        let reply = self.wait(token, requests, wait).await;
-        // A question for a job proves nothing about its submission.
+        let reply = self.reply_or_receipt(token, requests, wait).await;
+        // A reply to a query does not prove that the submission did not run.
         let reply = reply.map_err(Problem::maybe_run)?;
         respond(job, reply, |problem| problem.not_run = false)
     }
 
-    /// Sends the first request and, where it has no reply in time, the second.
-    async fn wait(
+    /// Sends the first request and, if it has no reply within `wait`, the second, to
+    /// which the owner replies at once.
+    async fn reply_or_receipt(
         &self,
         token: &str,
         (request, for_receipt): (Request, Request),
@@ -100,15 +104,15 @@
         reply.ok_or_else(no_receipt)
     }
 
-    /// Sends a request; returns none where no reply comes in time.
+    /// Sends a request to the loop; returns none if no reply arrives within `wait`.
     async fn send(
         &self,
         token: &str,
         request: Request,
         wait: Duration,
     ) -> Result<Option<CallerReply>, Problem> {
-        let (reply, answer) = oneshot::channel();
-        let waiter = self.waiter();
+        let (reply, reply_rx) = oneshot::channel();
+        let waiter = self.new_waiter();
         let request = CallerRequest {
             waiter: waiter.id,
             token: token.to_owned(),
@@ -116,17 +120,17 @@
             reply,
         };
         let sent = self.tx.send(Event::Caller(request)).await;
-        sent.map_err(|_| stopping())?;
-        match timeout(wait, answer).await {
+        sent.map_err(|_| stopping_maybe_run())?;
+        match timeout(wait, reply_rx).await {
             Ok(Ok(reply)) => Ok(Some(reply)),
-            Ok(Err(_)) => Err(stopping()),
+            Ok(Err(_)) => Err(stopping_maybe_run()),
             Err(_) => Ok(None),
         }
     }
 
-    fn waiter(&self) -> Waiter {
-        let id = self.next_waiter.get() + 1;
-        self.next_waiter.set(id);
+    fn new_waiter(&self) -> Waiter {
+        let id = self.last_waiter.get() + 1;
+        self.last_waiter.set(id);
         Waiter {
             id,
             tx: self.tx.clone(),
@@ -134,17 +138,18 @@
     }
 }
 
-/// Makes the response; `weaken` takes claims back that the entry cannot prove.
+/// Makes the response to a caller. `adjust` clears `not_run` in problems of this
+/// entry where an earlier submission of the job may have run.
 fn respond(
     job: &JobRef,
     reply: CallerReply,
-    weaken: impl Fn(&mut Problem),
+    adjust: impl Fn(&mut Problem),
 ) -> Result<HttpResponse, Problem> {
     let reply = match reply {
         CallerReply::Owner(reply) => reply,
-        CallerReply::Unauthorized => return Err(weakened(unauthorized(), weaken)),
-        CallerReply::NotReady => return Err(weakened(not_ready(), weaken)),
-        CallerReply::Stopping => return Err(weakened(stopping_now(), weaken)),
+        CallerReply::Unauthorized => return Err(adjusted(unauthorized(), adjust)),
+        CallerReply::NotReady => return Err(adjusted(not_ready(), adjust)),
+        CallerReply::Stopping => return Err(adjusted(stopping_not_run(), adjust)),
     };
     match reply {
         Reply::Answered(answer) => Ok(HttpResponse::Ok().json(&JobPage::ended(job, answer))),
@@ -152,12 +157,12 @@
         Reply::Refused(refusal) => Err(Problem::refused(&refusal)),
         Reply::Unavailable(refusal) => Err(Problem::unavailable(&refusal)),
         Reply::KeyReused => Err(key_reused()),
-        Reply::NotFound => Err(no_such_job(job)),
+        Reply::NotFound => Err(unknown_job(job)),
     }
 }
 
-fn weakened(mut problem: Problem, weaken: impl Fn(&mut Problem)) -> Problem {
-    weaken(&mut problem);
+fn adjusted(mut problem: Problem, adjust: impl Fn(&mut Problem)) -> Problem {
+    adjust(&mut problem);
     problem
 }
 
@@ -178,13 +183,13 @@
     Problem::new(StatusCode::SERVICE_UNAVAILABLE, "not-ready", detail)
 }
 
-fn stopping_now() -> Problem {
+fn stopping_not_run() -> Problem {
     let detail = "the entry is stopping; submit through another entry";
     Problem::new(StatusCode::SERVICE_UNAVAILABLE, "stopping", detail)
 }
 
-fn stopping() -> Problem {
-    stopping_now().maybe_run()
+fn stopping_maybe_run() -> Problem {
+    stopping_not_run().maybe_run()
 }
 
 fn key_reused() -> Problem {
@@ -193,13 +198,13 @@
     Problem::new(StatusCode::CONFLICT, "key-reused", detail).maybe_run()
 }
 
-fn no_such_job(job: &JobRef) -> Problem {
-    let detail = format!("no job {job} is known; it may be older than the records");
+fn unknown_job(job: &JobRef) -> Problem {
+    let detail = format!("job {job} is not known; its records may have expired");
     Problem::new(StatusCode::NOT_FOUND, "unknown-job", detail).maybe_run()
 }
 
 fn no_receipt() -> Problem {
     let detail = "the owner of the job's shard did not reply in time; \
-                  submit or ask again with the same key";
+                  submit or query again with the same key";
     Problem::new(StatusCode::SERVICE_UNAVAILABLE, "no-receipt", detail).maybe_run()
 }
--- a/crates/entry/src/callers/job_page.rs
+++ b/crates/entry/src/callers/job_page.rs
@@ -1,66 +1,67 @@
-//! A job's state and answer, as callers read them.
+//! Body of a response about a job: its state and answer.
 
 use {
     chestnutrun_types::{JobAnswer, JobRef, JobStatus, RefusalReason, TaskAnswer, TaskOutcome},
     serde::{Deserialize, Serialize},
 };
 
-/// How far a job is.
+/// State of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobState {
-    /// The owner of its shard has recorded it; it goes on.
+    /// The owner of the shard has recorded the job; its answer is pending.
     Accepted,
-    /// Every task ended.
+    /// Every task has ended.
     Ended,
 }
 
-/// One task of a job's page.
+/// Outcome of one task of a job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "outcome")]
 pub enum TaskPage {
-    /// It ran once.
+    /// The task ran once and completed.
     Completed {
-        /// What the endpoint returned.
+        /// Output that the endpoint returned.
         output: String,
     },
-    /// It ran, and the endpoint reported an error.
+    /// The task ran, and the endpoint reported an error.
     FailedWhileRunning {
-        /// What the endpoint reported.
+        /// Error that the endpoint reported.
         error: String,
     },
-    /// It did not run and never will.
+    /// The task did not run and never will.
     NotRun {
-        /// Why.
+        /// Why the task did not run.
         reason: RefusalReason,
     },
-    /// It may have run; nothing can be proved.
+    /// The task may have run; no record proves whether it did.
     OutcomeUnknown,
-    /// It was cancelled before it started.
+    /// The task was cancelled before it started.
     Cancelled,
-    /// The job's deadline passed before it started.
+    /// The job's deadline passed before the task started.
     DeadlinePassed,
 }
 
-/// A job's state and, once it ended, its whole answer.
+/// State of a job and, once the job has ended, its complete answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobPage {
     /// Contract of the job.
     pub contract: String,
-    /// The caller's key.
+    /// Key of the job, which the caller chose.
     pub key: String,
-    /// How far the job is.
+    /// Whether the job has ended.
     pub state: JobState,
-    /// Complete or failed, once it ended.
+    /// Whether all tasks completed; none until the job has ended.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub status: Option<JobStatus>,
-    /// One entry for each task of the submission, in its order, once it ended.
+    /// Outcome of each task, in the order of the submission; none until the job has
+    /// ended.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tasks: Option<Vec<TaskPage>>,
 }
 
 impl JobPage {
-    /// Describes a job that goes on.
+    /// Creates the page of an accepted job that has not ended.
     #[must_use]
     pub fn accepted(job: &JobRef) -> Self {
         Self {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Describes a job that ended.
+    /// Creates the page of a job that has ended.
     #[must_use]
     pub fn ended(job: &JobRef, answer: JobAnswer) -> Self {
         let tasks = answer.tasks.into_iter().map(TaskPage::from).collect();
--- a/crates/entry/src/callers/mod.rs
+++ b/crates/entry/src/callers/mod.rs
@@ -1,10 +1,10 @@
-//! HTTP for callers.
+//! HTTP interface for callers.
 
-mod desk;
+mod caller_handle;
 mod job_page;
 mod routes;
 mod submission;
 mod waiter;
 
 pub use job_page::{JobPage, JobState, TaskPage};
-pub(crate) use {desk::Desk, routes::serve, submission::parse};
+pub(crate) use {caller_handle::CallerHandle, routes::serve, submission::parse_json};
--- a/crates/entry/src/callers/routes.rs
+++ b/crates/entry/src/callers/routes.rs
@@ -1,9 +1,9 @@
-//! Paths for callers.
+//! HTTP routes of callers.
 
 use {
     crate::{
         callers::{
-            Desk,
+            CallerHandle,
             submission::{bad_job, read_submission},
         },
         event::Event,
@@ -25,26 +25,26 @@
     tokio::sync::mpsc::Sender,
 };
 
-/// Scheme of the header `Authorization`.
-const BEARER: &str = "Bearer ";
+/// Prefix of the header `Authorization`, before the token.
+const BEARER_PREFIX: &str = "Bearer ";
 
-/// How long a request waits.
+/// Query of a request: how long it waits for the job's answer.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Wait {
+struct WaitQuery {
     #[serde(default, with = "humantime_serde")]
     wait: Option<Duration>,
 }
 
 /// Serves callers until the process ends.
 pub(crate) async fn serve(listener: Listener, tx: Sender<Event>, limits: RequestLimits) {
-    let desk = Desk {
+    let handle = CallerHandle {
         tx,
         limits,
-        next_waiter: Rc::new(Cell::new(0)),
+        last_waiter: Rc::new(Cell::new(0)),
     };
     let app = App::new()
-        .state(desk)
+        .state(handle)
         .service(
             web::resource("/v1/contracts/{contract}/jobs")
                 .route(web::post().to(submit))
@@ -52,7 +52,7 @@
         )
         .service(
             web::resource("/v1/contracts/{contract}/jobs/{key}")
-                .route(web::get().to(ask))
+                .route(web::get().to(query))
                 .route(web::delete().to(cancel))
                 .default_service(web::to(get_or_delete)),
         )
@@ -75,70 +75,72 @@
     not_found()
 }
 
-async fn submit(req: HttpRequest, payload: Payload, desk: State<Desk>) -> HttpResponse {
-    let ended = try_submit(&req, payload, &desk).await;
-    ended.unwrap_or_else(|problem| problem.response())
+async fn submit(req: HttpRequest, payload: Payload, handle: State<CallerHandle>) -> HttpResponse {
+    let result = try_submit(&req, payload, &handle).await;
+    result.unwrap_or_else(|problem| problem.response())
 }
 
 async fn try_submit(
     req: &HttpRequest,
     payload: Payload,
-    desk: &Desk,
+    handle: &CallerHandle,
 ) -> Result<HttpResponse, Problem> {
-    let contract = segment(req, "contract");
-    let submit = read_submission(req, contract, payload, &desk.limits).await;
-    let wait = wait(req)?.unwrap_or(desk.limits.longest_wait);
+    let contract = path_segment(req, "contract");
+    let submit = read_submission(req, contract, payload, &handle.limits).await;
+    let wait = wait_time(req)?.unwrap_or(handle.limits.longest_wait);
     let submit = submit?;
-    desk.submit(bearer(req), submit, wait).await
+    handle.submit(bearer_token(req), submit, wait).await
 }
 
-async fn ask(req: HttpRequest, desk: State<Desk>) -> HttpResponse {
-    let ended = try_ask(&req, &desk).await;
-    ended.unwrap_or_else(|problem| problem.response())
+async fn query(req: HttpRequest, handle: State<CallerHandle>) -> HttpResponse {
+    let result = try_query(&req, &handle).await;
+    result.unwrap_or_else(|problem| problem.response())
 }
 
-async fn try_ask(req: &HttpRequest, desk: &Desk) -> Result<HttpResponse, Problem> {
-    let wait = wait(req).map_err(Problem::maybe_run)?;
-    let job = job(req)?;
-    desk.ask(bearer(req), job, wait.unwrap_or_default()).await
+async fn try_query(req: &HttpRequest, handle: &CallerHandle) -> Result<HttpResponse, Problem> {
+    let wait = wait_time(req).map_err(Problem::maybe_run)?;
+    let job = job_ref(req)?;
+    handle
+        .query(bearer_token(req), job, wait.unwrap_or_default())
+        .await
 }
 
-async fn cancel(req: HttpRequest, desk: State<Desk>) -> HttpResponse {
-    let ended = try_cancel(&req, &desk).await;
-    ended.unwrap_or_else(|problem| problem.response())
+async fn cancel(req: HttpRequest, handle: State<CallerHandle>) -> HttpResponse {
+    let result = try_cancel(&req, &handle).await;
+    result.unwrap_or_else(|problem| problem.response())
 }
 
-async fn try_cancel(req: &HttpRequest, desk: &Desk) -> Result<HttpResponse, Problem> {
-    let job = job(req)?;
-    desk.cancel(bearer(req), job).await
+async fn try_cancel(req: &HttpRequest, handle: &CallerHandle) -> Result<HttpResponse, Problem> {
+    let job = job_ref(req)?;
+    handle.cancel(bearer_token(req), job).await
 }
 
-fn wait(req: &HttpRequest) -> Result<Option<Duration>, Problem> {
-    match Query::<Wait>::from_query(req.query_string()) {
+fn wait_time(req: &HttpRequest) -> Result<Option<Duration>, Problem> {
+    match Query::<WaitQuery>::from_query(req.query_string()) {
         Ok(query) => Ok(query.wait),
         Err(error) => Err(Problem::new(
             StatusCode::BAD_REQUEST,
             "bad-query",
-            format!("{error}; the query has at most `wait`, such as `wait=2s`"),
+            format!("{error}; the only parameter of the query is `wait`, such as `wait=2s`"),
         )),
     }
 }
 
-fn job(req: &HttpRequest) -> Result<JobRef, Problem> {
-    let key = segment(req, "key");
+fn job_ref(req: &HttpRequest) -> Result<JobRef, Problem> {
+    let key = path_segment(req, "key");
     JobSpec::check_key(key).map_err(|error| bad_job(&error).maybe_run())?;
     Ok(JobRef {
-        contract: segment(req, "contract").into(),
+        contract: path_segment(req, "contract").into(),
         key: key.into(),
     })
 }
 
-fn segment<'a>(req: &'a HttpRequest, name: &str) -> &'a str {
+fn path_segment<'a>(req: &'a HttpRequest, name: &str) -> &'a str {
     req.match_info().get(name).unwrap_or_default()
 }
 
-fn bearer(req: &HttpRequest) -> &str {
+fn bearer_token(req: &HttpRequest) -> &str {
     let value = req.headers().get(header::AUTHORIZATION);
     let text = value.and_then(|v| v.to_str().ok()).unwrap_or_default();
-    text.strip_prefix(BEARER).unwrap_or_default()
+    text.strip_prefix(BEARER_PREFIX).unwrap_or_default()
 }
--- a/crates/entry/src/callers/submission.rs
+++ b/crates/entry/src/callers/submission.rs
@@ -1,4 +1,4 @@
-//! Reads a submission from a request.
+//! Reads a submission from an HTTP request.
 
 use {
     crate::{job_body::JobBody, problem::Problem, request_body::read_body},
@@ -12,19 +12,19 @@
     xxhash_rust::xxh3::xxh3_128,
 };
 
-/// Header with the caller's key.
+/// Header with the key that identifies a job, which the caller chose.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// Header with which a caller says how often it has submitted this key.
+/// Header with the number of times that the caller has submitted this key.
 const ATTEMPT_HEADER: &str = "submission-attempt";
 
-/// Value of [`ATTEMPT_HEADER`] that rules out an earlier submission.
+/// Value of [`ATTEMPT_HEADER`] in the first submission of a key.
 const FIRST_ATTEMPT: &str = "1";
 
-/// Reads a submission; a problem means that nothing of the request ran.
+/// Reads a submission; if it returns a problem, nothing of the request ran.
 ///
-/// The body is read first, since a connection with an unread body cannot be
-/// used again.
+/// The body is read before the headers are checked: a connection with an unread
+/// body cannot be reused.
 pub(crate) async fn read_submission(
     req: &HttpRequest,
     contract: &str,
@@ -32,13 +32,13 @@
     limits: &RequestLimits,
 ) -> Result<Submit, Problem> {
     let buf = read_body(req, payload, limits).await;
-    let key = key(req)?;
-    let may_be_older = header(req, ATTEMPT_HEADER) != Some(FIRST_ATTEMPT);
+    let key = idempotency_key(req)?;
+    let may_be_older = header_text(req, ATTEMPT_HEADER) != Some(FIRST_ATTEMPT);
     let buf = buf?;
-    let body: JobBody = parse(&buf)?;
+    let body: JobBody = parse_json(&buf)?;
     let spec = body
         .into_spec(SystemTime::now())
-        .map_err(|error| bad("bad-deadline", error.to_string()))?;
+        .map_err(|error| bad_request("bad-deadline", error.to_string()))?;
     spec.check().map_err(|error| bad_job(&error))?;
     Ok(Submit {
         job: JobRef {
@@ -52,32 +52,34 @@
     })
 }
 
-/// Parses JSON; a problem names the line and the column.
-pub(crate) fn parse<T: serde::de::DeserializeOwned>(buf: &[u8]) -> Result<T, Problem> {
-    let text = std::str::from_utf8(buf).map_err(|error| bad("bad-utf8", error.to_string()))?;
+/// Parses a JSON body; a problem names the line and column of the error.
+pub(crate) fn parse_json<T: serde::de::DeserializeOwned>(buf: &[u8]) -> Result<T, Problem> {
+    let text =
+        std::str::from_utf8(buf).map_err(|error| bad_request("bad-utf8", error.to_string()))?;
     serde_json::from_str(text).map_err(|error| {
         let name = if error.is_data() {
             "bad-field"
         } else {
             "bad-json"
         };
-        bad(name, error.to_string()).at(error.line(), error.column())
+        bad_request(name, error.to_string()).at(error.line(), error.column())
     })
 }
 
-fn key(req: &HttpRequest) -> Result<&str, Problem> {
+fn idempotency_key(req: &HttpRequest) -> Result<&str, Problem> {
     let value = req.headers().get(KEY_HEADER);
-    let value = value.ok_or_else(|| bad("key-missing", "the header Idempotency-Key is missing"))?;
+    let value =
+        value.ok_or_else(|| bad_request("key-missing", "the header Idempotency-Key is missing"))?;
     let key = value.to_str().unwrap_or_default();
     JobSpec::check_key(key).map_err(|error| bad_job(&error))?;
     Ok(key)
 }
 
-fn header<'a>(req: &'a HttpRequest, name: &str) -> Option<&'a str> {
+fn header_text<'a>(req: &'a HttpRequest, name: &str) -> Option<&'a str> {
     req.headers().get(name).and_then(|v| v.to_str().ok())
 }
 
-/// Makes the problem of a job that breaks a rule.
+/// Returns the problem of a job that is not valid.
 pub(crate) fn bad_job(error: &JobError) -> Problem {
     let name = match error {
         JobError::NoTask => "no-task",
@@ -85,9 +87,9 @@
         JobError::BadKey => "bad-key",
         JobError::EmptyKind(_) => "bad-task",
     };
-    bad(name, error.to_string())
+    bad_request(name, error.to_string())
 }
 
-fn bad(name: &str, detail: impl Into<String>) -> Problem {
+fn bad_request(name: &str, detail: impl Into<String>) -> Problem {
     Problem::new(StatusCode::BAD_REQUEST, name, detail)
 }
--- a/crates/entry/src/callers/waiter.rs
+++ b/crates/entry/src/callers/waiter.rs
@@ -1,8 +1,9 @@
-//! A caller that waits for a reply of the loop.
+//! Detects callers that stopped waiting.
 
 use {crate::event::Event, chestnutrun_decisions::front::WaiterId, tokio::sync::mpsc::Sender};
 
-/// Tells the loop when a caller went away or waited long enough.
+/// A caller that waits for a reply. When the value is dropped, the loop learns that
+/// the caller has its reply, disconnected or waited for the longest time allowed.
 pub(crate) struct Waiter {
     pub(crate) id: WaiterId,
     pub(crate) tx: Sender<Event>,
@@ -10,7 +11,7 @@
 
 impl Drop for Waiter {
     fn drop(&mut self) {
-        // A full queue only delays the clean-up until the reply comes.
+        // If the queue is full, the loop forgets the caller when the reply arrives.
         let _ = self.tx.try_send(Event::Abandon(self.id));
     }
 }
--- a/crates/entry/src/daemon/callers_side.rs
+++ b/crates/entry/src/daemon/callers_side.rs
@@ -1,4 +1,4 @@
-//! Callers' requests and replies.
+//! Handles callers' requests: checks them, forwards them and passes replies back.
 
 use {
     crate::{
@@ -15,10 +15,11 @@
 };
 
 impl EntryDaemon {
-    pub(super) fn caller(&mut self, caller: CallerRequest) {
-        let job = job_of(&caller.request).clone();
+    /// Forwards a caller's request, or replies at once if it cannot be accepted.
+    pub(super) fn caller_request(&mut self, caller: CallerRequest) {
+        let job = requested_job(&caller.request).clone();
         if let Err(reply) = self.check_caller(&job.contract, &caller) {
-            // A caller who went away needs no reply.
+            // The caller may have disconnected.
             let _ = caller.reply.send(reply);
             return;
         }
@@ -31,12 +32,14 @@
         self.front_input(FrontInput::Request(caller.waiter, caller.request));
     }
 
+    /// Drops a caller that no longer waits; does nothing if it has its reply.
     pub(super) fn abandon(&mut self, waiter: WaiterId) {
         if self.waiters.swap_remove(&waiter).is_some() {
             self.front_input(FrontInput::Abandon(waiter));
         }
     }
 
+    /// Passes an input to the front machine and executes its actions.
     pub(super) fn front_input(&mut self, input: FrontInput) {
         for action in self.front.handle(input) {
             match action {
@@ -46,9 +49,10 @@
         }
     }
 
+    /// Sends a request to the owner of its shard, which may be this entry.
     fn send_request(&mut self, entry: EntryId, request: Request) {
         if entry == self.me.entry {
-            self.take_request(entry, request);
+            self.owner_request(entry, request);
             return;
         }
         let message = match request {
@@ -63,11 +67,12 @@
         self.metrics.reply(reply_name(&reply));
         if let Some((tx, stopwatch)) = self.waiters.swap_remove(&waiter) {
             stopwatch.close(reply_name(&reply));
-            // A caller who went away asks again.
+            // The caller may have disconnected; it can query the job later.
             let _ = tx.send(CallerReply::Owner(reply));
         }
     }
 
+    /// Checks that a request has its contract's token and can be accepted now.
     fn check_caller(
         &self,
         contract: &ContractId,
@@ -77,9 +82,10 @@
             return Err(CallerReply::NotReady);
         };
         let terms = configuration.contracts.get(contract);
-        let wanted = terms.map_or_else(String::new, |terms| terms.token_hash.to_ascii_lowercase());
-        let sent = Contract::hash_token(&caller.token);
-        if !bool::from(sent.as_bytes().ct_eq(wanted.as_bytes())) {
+        let expected_hash =
+            terms.map_or_else(String::new, |terms| terms.token_hash.to_ascii_lowercase());
+        let sent_hash = Contract::hash_token(&caller.token);
+        if !bool::from(sent_hash.as_bytes().ct_eq(expected_hash.as_bytes())) {
             return Err(CallerReply::Unauthorized);
         }
         if self.stop_by.is_some() && matches!(caller.request, Request::Submit(_)) {
@@ -89,7 +95,7 @@
     }
 }
 
-fn job_of(request: &Request) -> &JobRef {
+fn requested_job(request: &Request) -> &JobRef {
     match request {
         Request::Submit(submit) => &submit.job,
         Request::Query(job) | Request::Status(job) | Request::Cancel(job) => job,
--- a/crates/entry/src/daemon/entry_daemon.rs
+++ b/crates/entry/src/daemon/entry_daemon.rs
@@ -1,4 +1,4 @@
-//! The entry's loop.
+//! State and main loop of the entry.
 
 use {
     crate::{
@@ -32,47 +32,52 @@
     },
 };
 
-/// How often the machines are told that time passed.
+/// Interval between the ticks of the decision machines.
 const TICK: Duration = Duration::from_millis(50);
 
-/// How long the last messages get to leave before the process ends.
-const LINGER: Duration = Duration::from_millis(300);
+/// How long the process waits for its last messages to be sent before it exits.
+const FLUSH_TIME: Duration = Duration::from_millis(300);
 
-/// What an entry's loop is made of.
+/// Parts from which [`EntryDaemon::new`] creates a loop.
 #[derive(Debug)]
 pub(crate) struct EntryDaemonParts {
-    /// Settings.
+    /// Settings of the process.
     pub(crate) conf: EntryConf,
-    /// This entry.
+    /// This entry, as the site's member list shows it.
     pub(crate) me: Member,
     /// Links to agents and entries.
     pub(crate) links: Links,
-    /// The platform's table.
+    /// Table that stores members, owners and the configuration.
     pub(crate) table: Box<dyn Table>,
-    /// Metrics.
+    /// Metrics of the process.
     pub(crate) metrics: Metrics,
     /// Recent events.
     pub(crate) timeline: Timeline,
-    /// Where the loop's events come from.
+    /// Queue of the loop, for handlers and reads and writes of the table.
     pub(crate) tx: Sender<Event>,
 }
 
-/// Front end of an entry's machines.
+/// Loop of one entry, with its decision machines, links and table.
 #[derive(Debug)]
 pub struct EntryDaemon {
     pub(super) conf: EntryConf,
     pub(super) me: Member,
+    /// Forwards callers' requests to the owners of shards.
     pub(super) front: FrontMachine,
+    /// Decides which shards this entry owns.
     pub(super) membership: MembershipMachine,
     pub(super) shards: Shards,
     pub(super) links: Links,
     pub(super) members: MemberList,
     pub(super) table: Box<dyn Table>,
+    /// Newest configuration; none before the first read of the table.
     pub(super) configuration: Option<Rc<Configuration>>,
+    /// Callers that wait for a reply, each with the stopwatch of its request.
     pub(super) waiters: IndexMap<WaiterId, (oneshot::Sender<CallerReply>, Stopwatch)>,
     pub(super) metrics: Metrics,
     pub(super) timeline: Timeline,
     pub(super) tx: Sender<Event>,
+    /// When the entry exits at the latest; set once it is told to stop.
     pub(super) stop_by: Option<Instant>,
 }
 
@@ -119,27 +124,29 @@
                 Some(event) = rx.recv() => self.event(event),
                 Some(event) = link_rx.recv() => self.link_event(event),
                 _ = tick.tick() => self.tick(),
-                _ = terminate.recv() => self.leave(),
-                _ = interrupt.recv() => self.leave(),
+                _ = terminate.recv() => self.begin_stop(),
+                _ = interrupt.recv() => self.begin_stop(),
             }
         }
         self.close().await;
         Ok(())
     }
 
+    /// Returns whether the entry can exit: it was told to stop, and its open work has
+    /// ended or its time to stop is over.
     fn is_done(&self) -> bool {
         match self.stop_by {
             None => false,
             Some(stop_by) => {
                 let has_work = self.front.pending_requests() > 0 || self.shards.has_open_jobs();
-                let is_free = !has_work && self.membership.has_left();
-                is_free || Instant::now() >= stop_by
+                let is_idle = !has_work && self.membership.has_left();
+                is_idle || Instant::now() >= stop_by
             }
         }
     }
 
-    /// Takes nothing new; a second call ends the wait for what is open.
-    fn leave(&mut self) {
+    /// Stops accepting submissions; a second call stops waiting for open jobs.
+    fn begin_stop(&mut self) {
         if self.stop_by.is_some() {
             self.stop_by = Some(Instant::now());
             return;
@@ -152,9 +159,12 @@
 
     async fn close(self) {
         if self.front.pending_requests() > 0 {
-            log::warn!("{} jobs were cut off", self.front.pending_requests());
+            log::warn!(
+                "stopping with {} requests of callers still unanswered",
+                self.front.pending_requests()
+            );
         }
-        sleep(LINGER).await;
+        sleep(FLUSH_TIME).await;
         self.links.close();
         self.metrics.close();
         log::info!("entry {} stopped", self.me.entry);
@@ -168,14 +178,14 @@
 
     fn event(&mut self, event: Event) {
         match event {
-            Event::Caller(request) => self.caller(request),
+            Event::Caller(request) => self.caller_request(request),
             Event::Abandon(waiter) => self.abandon(waiter),
-            Event::Operator(request, reply) => self.operator(request, reply),
+            Event::Operator(request, reply) => self.operator_request(request, reply),
             Event::TableRead(read) => self.table_read(read),
-            Event::Changed(row, revision) => {
-                // Before the first read one row is no configuration.
+            Event::RowChanged(row, revision) => {
+                // Before the first read, a single row is not a usable configuration.
                 if self.configuration.is_some() {
-                    self.configured(&Configuration::from_row(row, revision));
+                    self.apply_configuration(&Configuration::from_row(row, revision));
                 }
             }
             Event::TableWritten(write, result) => {
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -1,4 +1,4 @@
-//! Links: who came, who went, and what they say.
+//! Handles links that open and close, and the messages on them.
 
 use {
     crate::{EntryDaemon, links::Peer},
@@ -19,7 +19,7 @@
         match event {
             LinkEvent::Up(link, peer) => self.link_up(link, peer),
             LinkEvent::Message(id, message) => self.message(id, message),
-            // Ownerships are confirmed by messages of their own.
+            // Ownerships are confirmed by messages, not by signs of life.
             LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => self.link_down(id),
         }
@@ -28,39 +28,42 @@
     pub(super) fn send_agent(&mut self, endpoint: &EndpointId, message: Message) {
         self.metrics.sent("agent", message.kind());
         if !self.links.send_agent(endpoint, message) {
-            log::debug!("endpoint {endpoint} is out of reach");
+            log::debug!("could not send a message to the agent of endpoint {endpoint}");
         }
     }
 
     pub(super) fn send_entry(&mut self, entry: &EntryId, message: Message) {
         self.metrics.sent("entry", message.kind());
         if !self.links.send_entry(entry, message) {
-            log::debug!("entry {entry} is out of reach");
+            log::debug!("could not send a message to entry {entry}");
         }
     }
 
-    /// Sends what another entry should know or asked for.
-    pub(super) fn say(&mut self, entry: &EntryId, message: EntryMessage) {
+    /// Sends a message of the membership machine to another entry. Answers go on the
+    /// link that the other entry opened.
+    pub(super) fn send_membership_message(&mut self, entry: &EntryId, message: EntryMessage) {
         match message {
             EntryMessage::Agents(agents) => self.send_entry(entry, Message::Agents(agents)),
             EntryMessage::Owner(owner) => self.send_entry(entry, Message::Owner(owner)),
             EntryMessage::Acknowledgement(acknowledgement) => {
-                self.answer_entry(entry, Message::Acknowledgement(acknowledgement));
+                self.reply_to_entry(entry, Message::Acknowledgement(acknowledgement));
             }
-            EntryMessage::VoteRequest(question) => {
-                self.send_entry(entry, Message::VoteRequest(question));
+            EntryMessage::VoteRequest(request) => {
+                self.send_entry(entry, Message::VoteRequest(request));
             }
-            EntryMessage::Vote(vouched) => self.answer_entry(entry, Message::Vote(vouched)),
+            EntryMessage::Vote(vote) => self.reply_to_entry(entry, Message::Vote(vote)),
         }
     }
 
-    pub(super) fn answer_entry(&mut self, entry: &EntryId, message: Message) {
+    pub(super) fn reply_to_entry(&mut self, entry: &EntryId, message: Message) {
         self.metrics.sent("entry", message.kind());
-        if !self.links.answer_entry(entry, message) {
-            log::debug!("entry {entry} is out of reach");
+        if !self.links.reply_to_entry(entry, message) {
+            log::debug!("could not send a message to entry {entry}");
         }
     }
 
+    /// Sends this entry's hello, the member list and the configuration on a new link and
+    /// adds the link. The link of an agent of a site without owners is closed.
     fn link_up(&mut self, link: Link, peer: PeerName) {
         if let PeerName::Accepted(Hello::Guard(hello)) = &peer {
             log::warn!(
@@ -70,7 +73,7 @@
             link.close();
             return;
         }
-        // A link that closed meanwhile reports so by itself.
+        // If the link has closed already, a `Down` event follows.
         let _ = link.send(Message::Hello(Hello::Entry(self.me.clone())));
         let _ = link.send(Message::Members(self.members.clone()));
         if let Some(configuration) = &self.configuration {
@@ -86,47 +89,48 @@
         }
         match peer {
             PeerName::Accepted(Hello::Agent(hello)) => {
-                self.note_link(EventKind::LinkUp, &hello.endpoint);
+                self.record_link(EventKind::LinkUp, &hello.endpoint);
                 let replaced = self.links.hello(&hello.endpoint).cloned();
                 if let Some(replaced) = replaced {
                     let run = replaced.incarnation;
                     self.membership_input(MembershipInput::AgentDown(replaced.endpoint, run));
                 }
-                self.links.agent_up(link, hello.clone());
+                self.links.add_agent(link, hello.clone());
                 self.agent_up(hello);
             }
-            PeerName::Accepted(Hello::Entry(member)) => self.links.entry_up(link, member.entry),
+            PeerName::Accepted(Hello::Entry(member)) => self.links.add_accepted(link, member.entry),
             PeerName::Accepted(Hello::Guard(_)) => {}
             PeerName::Dialed(entry) => {
-                self.note_link(EventKind::LinkUp, &entry);
-                self.links.dialed_up(link, entry.clone());
+                self.record_link(EventKind::LinkUp, &entry);
+                self.links.add_dialed(link, entry.clone());
                 self.membership_input(MembershipInput::LinkUp(entry.clone()));
                 self.front_input(FrontInput::LinkUp(entry));
             }
         }
     }
 
+    /// Passes a new hello of an agent to the machines.
     fn agent_up(&mut self, hello: AgentHello) {
         self.membership_input(MembershipInput::AgentUp(hello.clone()));
         self.owner_input(hello.shard, OwnerInput::AgentUp(hello));
     }
 
     fn link_down(&mut self, id: LinkId) {
-        let Some(loss) = self.links.down(id) else {
+        let Some(loss) = self.links.remove(id) else {
             return;
         };
         match loss.peer {
             Peer::Agent(endpoint) => {
-                self.note_link(EventKind::LinkDown, &endpoint);
+                self.record_link(EventKind::LinkDown, &endpoint);
                 let hello = self.links.hello(&endpoint).cloned();
                 match hello {
-                    Some(hello) if loss.is_gone => self.agent_down(&hello),
+                    Some(hello) if loss.is_disconnected => self.agent_down(&hello),
                     Some(hello) => self.agent_up(hello),
                     None => {}
                 }
             }
             Peer::DialedEntry(entry) => {
-                self.note_link(EventKind::LinkDown, &entry);
+                self.record_link(EventKind::LinkDown, &entry);
                 self.membership_input(MembershipInput::LinkDown(entry.clone()));
                 self.front_input(FrontInput::LinkDown(entry));
             }
@@ -134,6 +138,7 @@
         }
     }
 
+    /// Records that an agent stopped in an orderly way, with the jobs of its records.
     fn agent_departed(&mut self, endpoint: &EndpointId, jobs: Vec<KeyHash>) {
         if let Some(run) = self.links.hello(endpoint).map(|hello| hello.incarnation) {
             let input = MembershipInput::AgentDeparted(endpoint.clone(), run, jobs);
@@ -141,6 +146,7 @@
         }
     }
 
+    /// Reports to the machines that an agent is disconnected.
     fn agent_down(&mut self, hello: &AgentHello) {
         let (endpoint, run) = (hello.endpoint.clone(), hello.incarnation);
         self.membership_input(MembershipInput::AgentDown(endpoint.clone(), run));
@@ -162,7 +168,7 @@
     }
 
     fn agent_message(&mut self, endpoint: EndpointId, message: Message) {
-        let shard = self.shard_of(&endpoint);
+        let shard = self.agent_shard(&endpoint);
         let input = match message {
             Message::Confirm(confirm) => {
                 let lease = OwnerInput::AgentLease(endpoint.clone(), confirm.leased);
@@ -176,7 +182,7 @@
                 return;
             }
             Message::Hello(Hello::Agent(hello)) => {
-                self.links.agent_again(hello.clone());
+                self.links.update_agent(hello.clone());
                 self.agent_up(hello);
                 return;
             }
@@ -185,7 +191,7 @@
             Message::Finished(finished) => OwnerInput::Finished(endpoint, finished),
             Message::LookupReply(reply) => OwnerInput::LookupReply(endpoint, reply),
             other => {
-                log::warn!("message that no agent sends: {other:?}");
+                log::warn!("dropped a message that agents do not send: {other:?}");
                 return;
             }
         };
@@ -194,40 +200,41 @@
 
     fn entry_message(&mut self, entry: EntryId, message: Message) {
         match message {
-            Message::Submit(submit) => self.take_request(entry, Request::Submit(submit)),
-            Message::Ask(job) => self.take_request(entry, Request::Query(job)),
-            Message::Cancel(job) => self.take_request(entry, Request::Cancel(job)),
+            Message::Submit(submit) => self.owner_request(entry, Request::Submit(submit)),
+            Message::Ask(job) => self.owner_request(entry, Request::Query(job)),
+            Message::Cancel(job) => self.owner_request(entry, Request::Cancel(job)),
             Message::Reply(reply) => {
-                self.note_reply(&reply);
+                self.record_reply(&reply);
                 self.front_input(FrontInput::Reply(reply));
             }
-            Message::Owner(owner) => self.entry_says(entry, EntryMessage::Owner(owner)),
-            Message::Agents(agents) => self.entry_says(entry, EntryMessage::Agents(agents)),
-            Message::VoteRequest(question) => {
-                self.entry_says(entry, EntryMessage::VoteRequest(question));
+            Message::Owner(owner) => self.membership_message(entry, EntryMessage::Owner(owner)),
+            Message::Agents(agents) => self.membership_message(entry, EntryMessage::Agents(agents)),
+            Message::VoteRequest(request) => {
+                self.membership_message(entry, EntryMessage::VoteRequest(request));
             }
-            Message::Vote(vouched) => self.entry_says(entry, EntryMessage::Vote(vouched)),
+            Message::Vote(vote) => self.membership_message(entry, EntryMessage::Vote(vote)),
             Message::Acknowledgement(acknowledgement) => {
                 let message = EntryMessage::Acknowledgement(acknowledgement);
-                self.entry_says(entry, message);
+                self.membership_message(entry, message);
             }
-            Message::Configuration(configuration) => self.configured(&configuration),
+            Message::Configuration(configuration) => self.apply_configuration(&configuration),
             Message::Members(_) | Message::Hello(Hello::Entry(_)) => {}
-            other => log::warn!("message that no entry sends: {other:?}"),
+            other => log::warn!("dropped a message that entries do not send to entries: {other:?}"),
         }
     }
 
-    fn entry_says(&mut self, entry: EntryId, message: EntryMessage) {
+    fn membership_message(&mut self, entry: EntryId, message: EntryMessage) {
         self.membership_input(MembershipInput::FromEntry(entry, message));
     }
 
-    /// Takes the rows of a configuration that are newer than those in force.
-    pub(super) fn configured(&mut self, news: &Configuration) {
+    /// Merges the newer rows of a configuration into the current one and passes the
+    /// result to the owned shards and all peers.
+    pub(super) fn apply_configuration(&mut self, update: &Configuration) {
         let mut configuration = match &self.configuration {
-            Some(known) => (**known).clone(),
+            Some(current) => (**current).clone(),
             None => Configuration::default(),
         };
-        let is_changed = configuration.merge(news);
+        let is_changed = configuration.merge(update);
         if !is_changed && self.configuration.is_some() {
             return;
         }
@@ -246,7 +253,8 @@
         self.owner_actions(actions);
     }
 
-    fn shard_of(&self, endpoint: &EndpointId) -> ShardId {
+    /// Returns the shard of a linked agent's endpoint.
+    fn agent_shard(&self, endpoint: &EndpointId) -> ShardId {
         self.links.hello(endpoint).map_or(0, |hello| hello.shard)
     }
 }
--- a/crates/entry/src/daemon/mod.rs
+++ b/crates/entry/src/daemon/mod.rs
@@ -1,4 +1,5 @@
-//! The entry's loop: front end of its machines.
+//! The entry's loop: passes events to its decision machines and executes the actions
+//! that they return.
 
 mod callers_side;
 mod entry_daemon;
--- a/crates/entry/src/daemon/observation.rs
+++ b/crates/entry/src/daemon/observation.rs
@@ -1,4 +1,4 @@
-//! What the time line and the metrics note of jobs and links.
+//! Records jobs and links on the timeline and in metrics.
 
 use {
     crate::EntryDaemon,
@@ -13,8 +13,14 @@
 };
 
 impl EntryDaemon {
-    /// Notes what the owner of a shard decided on a submission.
-    pub(super) fn note_decision(&mut self, shard: ShardId, job: &JobRef, actions: &[OwnerAction]) {
+    /// Records on the timeline whether the owner admitted a submission. Does nothing if
+    /// this entry does not own the shard.
+    pub(super) fn record_decision(
+        &mut self,
+        shard: ShardId,
+        job: &JobRef,
+        actions: &[OwnerAction],
+    ) {
         if !self.shards.iter().any(|owned| owned.conf().shard == shard) {
             return;
         }
@@ -30,15 +36,15 @@
         self.timeline.job(at, kind, job, refusal.unwrap_or(""));
     }
 
-    /// Notes an owner's reply at the entry whose caller asked.
+    /// Records on the timeline an owner's reply to a caller of this entry.
     ///
-    /// A submission that was sent again is replied to twice; only the reply
-    /// that someone waits for tells the caller anything.
-    pub(super) fn note_reply(&mut self, told: &JobReply) {
-        if !self.front.has_waiter_for(told) {
+    /// A submission that was sent again gets two replies; only the one that has a
+    /// waiting caller is recorded.
+    pub(super) fn record_reply(&mut self, job_reply: &JobReply) {
+        if !self.front.has_waiter_for(job_reply) {
             return;
         }
-        let (job, reply) = (&told.job, &told.reply);
+        let (job, reply) = (&job_reply.job, &job_reply.reply);
         let kind = match reply {
             Reply::Answered(_) => EventKind::Answered,
             Reply::Accepted => EventKind::Receipt,
@@ -48,7 +54,7 @@
         self.timeline.job(SystemTime::now(), kind, job, detail);
     }
 
-    /// Sets the gauges to the present state.
+    /// Sets the gauges of the metrics to the current state.
     pub(super) fn set_gauges(&self) {
         let (agents, entries) = self.links.counts();
         self.metrics.set_links("agent", agents);
@@ -75,13 +81,13 @@
         }
     }
 
-    /// Counts how a read of the table ended.
+    /// Counts a read of the table by its outcome.
     pub(super) fn count_read<T>(&self, read: &Result<T, TableError>) {
         let outcome = if read.is_ok() { "done" } else { "failed" };
         self.metrics.table_request("read", outcome);
     }
 
-    /// Counts how a write of the table ended.
+    /// Counts a write of the table by its outcome.
     pub(super) fn count_write(&self, result: WriteResult) {
         let outcome = match result {
             WriteResult::Accepted(_) => "done",
@@ -91,14 +97,14 @@
         self.metrics.table_request("write", outcome);
     }
 
-    /// Notes a link that opened or closed.
-    pub(super) fn note_link(&mut self, kind: EventKind, peer: &str) {
+    /// Records on the timeline that a link opened or closed.
+    pub(super) fn record_link(&mut self, kind: EventKind, peer: &str) {
         self.timeline
             .process(SystemTime::now(), kind, peer.to_owned());
     }
 }
 
-/// Returns the kind of a reply, as metrics and the time line name it.
+/// Returns the name of a reply in metrics and on the timeline.
 pub(super) fn reply_name(reply: &Reply) -> &'static str {
     match reply {
         Reply::Answered(_) => "answered",
@@ -110,6 +116,7 @@
     }
 }
 
+/// Returns the name of a reply that refuses a submission; none for other replies.
 fn refusal_name(reply: &Reply) -> Option<&'static str> {
     match reply {
         Reply::Refused(_) | Reply::KeyReused | Reply::Unavailable(_) => Some(reply_name(reply)),
--- a/crates/entry/src/daemon/operators_side.rs
+++ b/crates/entry/src/daemon/operators_side.rs
@@ -1,4 +1,4 @@
-//! Operators' requests.
+//! Handles operators' requests: creates the pages that they read.
 
 use {
     crate::{
@@ -18,25 +18,25 @@
 };
 
 impl EntryDaemon {
-    pub(super) fn operator(
+    pub(super) fn operator_request(
         &mut self,
         request: OperatorRequest,
         reply: oneshot::Sender<OperatorReply>,
     ) {
         let page = match request {
-            OperatorRequest::Ready => self.ready(),
+            OperatorRequest::Ready => self.ready_page(),
             OperatorRequest::Metrics => self.metrics_page(),
             OperatorRequest::Status => OperatorReply::Json(self.status()),
             OperatorRequest::Timeline => self.timeline_page(),
-            OperatorRequest::Contracts => self.contracts(),
-            OperatorRequest::Contract(id) => self.contract(&id),
-            OperatorRequest::Endpoints => self.endpoints(),
+            OperatorRequest::Contracts => self.contracts_page(),
+            OperatorRequest::Contract(id) => self.contract_page(&id),
+            OperatorRequest::Endpoints => self.endpoints_page(),
         };
-        // An operator who went away needs no page.
+        // The operator may have disconnected.
         let _ = reply.send(page);
     }
 
-    fn ready(&self) -> OperatorReply {
+    fn ready_page(&self) -> OperatorReply {
         if self.configuration.is_some() && self.stop_by.is_none() {
             OperatorReply::Text(200, "ready\n".to_owned())
         } else {
@@ -57,14 +57,14 @@
         OperatorReply::Json(json!(events))
     }
 
-    fn contracts(&self) -> OperatorReply {
+    fn contracts_page(&self) -> OperatorReply {
         match &self.configuration {
             Some(configuration) => OperatorReply::Json(json!(ContractsPage::new(configuration))),
             None => OperatorReply::Problem(not_ready()),
         }
     }
 
-    fn contract(&self, id: &str) -> OperatorReply {
+    fn contract_page(&self, id: &str) -> OperatorReply {
         let Some(configuration) = &self.configuration else {
             return OperatorReply::Problem(not_ready());
         };
@@ -73,19 +73,19 @@
             None => OperatorReply::Problem(Problem::new(
                 StatusCode::NOT_FOUND,
                 "unknown-contract",
-                format!("no contract {id} is in force at this entry"),
+                format!("contract {id} does not exist at this entry"),
             )),
         }
     }
 
-    fn endpoints(&self) -> OperatorReply {
+    fn endpoints_page(&self) -> OperatorReply {
         let Some(configuration) = &self.configuration else {
             return OperatorReply::Problem(not_ready());
         };
         let mut pages = self.announced_endpoints(configuration);
         for endpoint in configuration.drains.keys() {
-            let unseen = || EndpointPage::unseen(configuration, endpoint);
-            pages.entry(endpoint.clone()).or_insert_with(unseen);
+            let unannounced = || EndpointPage::unannounced(configuration, endpoint);
+            pages.entry(endpoint.clone()).or_insert_with(unannounced);
         }
         pages.sort_unstable_keys();
         let endpoints = pages.into_values().collect();
@@ -104,7 +104,7 @@
                 slots: hello.slots,
                 shard: Some(hello.shard),
                 zone: Some(hello.zone),
-                ..EndpointPage::unseen(configuration, &hello.endpoint)
+                ..EndpointPage::unannounced(configuration, &hello.endpoint)
             };
             (hello.endpoint, page)
         });
--- a/crates/entry/src/daemon/shards_side.rs
+++ b/crates/entry/src/daemon/shards_side.rs
@@ -1,4 +1,4 @@
-//! Owned shards: requests in, starts and replies out.
+//! Handles owned shards: requests from entries, orders to agents and replies.
 
 use {
     crate::EntryDaemon,
@@ -13,8 +13,9 @@
 };
 
 impl EntryDaemon {
-    /// Takes a request for a shard that this entry may own.
-    pub(super) fn take_request(&mut self, from: EntryId, request: Request) {
+    /// Passes a request to the machine of its shard; drops it if this entry does not
+    /// own the shard.
+    pub(super) fn owner_request(&mut self, from: EntryId, request: Request) {
         let shards = self.conf.shards;
         let submitted = match &request {
             Request::Submit(submit) => Some(submit.job.clone()),
@@ -29,11 +30,12 @@
         let input = OwnerInput::Request(from, request);
         let actions = self.shards.handle(Now::read(), shard, input);
         if let Some(job) = submitted {
-            self.note_decision(shard, &job, &actions);
+            self.record_decision(shard, &job, &actions);
         }
         self.owner_actions(actions);
     }
 
+    /// Passes an input to the machine of one shard and executes its actions.
     pub(super) fn owner_input(&mut self, shard: ShardId, input: OwnerInput) {
         let actions = self.shards.handle(Now::read(), shard, input);
         self.owner_actions(actions);
@@ -42,15 +44,15 @@
     pub(super) fn owner_actions(&mut self, actions: Vec<OwnerAction>) {
         for action in actions {
             match action {
-                OwnerAction::Order(endpoint, order) => self.order(&endpoint, order),
-                OwnerAction::Reply(entry, reply) => self.reply_to(&entry, reply),
+                OwnerAction::Order(endpoint, order) => self.send_order(&endpoint, order),
+                OwnerAction::Reply(entry, reply) => self.send_reply(&entry, reply),
             }
         }
     }
 
-    pub(super) fn own(&mut self, shard: ShardId, epoch: Epoch, takeover: Takeover) {
+    pub(super) fn begin_ownership(&mut self, shard: ShardId, epoch: Epoch, takeover: Takeover) {
         let detail = format!("shard {shard} epoch {epoch}");
-        log::info!("owns {detail}");
+        log::info!("began to own {detail}");
         self.metrics.set_ownership(shard, epoch);
         self.timeline
             .process(SystemTime::now(), EventKind::Owned, detail);
@@ -62,22 +64,24 @@
             me: self.me.entry.clone(),
         };
         let now = Now::read();
-        let actions = self.shards.own(now, conf, takeover, &agents, configuration);
+        let actions = self
+            .shards
+            .begin_ownership(now, conf, takeover, &agents, configuration);
         self.owner_actions(actions);
     }
 
-    pub(super) fn depose(&mut self, shard: ShardId) {
-        log::info!("no longer owns shard {shard}");
+    pub(super) fn end_ownership(&mut self, shard: ShardId) {
+        log::info!("lost the ownership of shard {shard}");
         self.metrics.set_ownership(shard, 0);
         self.timeline.process(
             SystemTime::now(),
             EventKind::Deposed,
             format!("shard {shard}"),
         );
-        self.shards.depose(shard);
+        self.shards.end_ownership(shard);
     }
 
-    fn order(&mut self, endpoint: &EndpointId, order: AgentOrder) {
+    fn send_order(&mut self, endpoint: &EndpointId, order: AgentOrder) {
         let message = match order {
             AgentOrder::Fence(fence) => Message::Fence(fence),
             AgentOrder::Lookup(lookup) => Message::Lookup(lookup),
@@ -95,12 +99,12 @@
         self.send_agent(endpoint, message);
     }
 
-    fn reply_to(&mut self, entry: &EntryId, reply: JobReply) {
+    fn send_reply(&mut self, entry: &EntryId, reply: JobReply) {
         if *entry == self.me.entry {
-            self.note_reply(&reply);
+            self.record_reply(&reply);
             self.front_input(FrontInput::Reply(reply));
         } else {
-            self.answer_entry(entry, Message::Reply(reply));
+            self.reply_to_entry(entry, Message::Reply(reply));
         }
     }
 }
--- a/crates/entry/src/daemon/start.rs
+++ b/crates/entry/src/daemon/start.rs
@@ -1,4 +1,4 @@
-//! Starts an entry.
+//! Creates an entry from its settings and runs it.
 
 use {
     crate::{
@@ -6,7 +6,7 @@
         daemon::entry_daemon::EntryDaemonParts,
         links::Links,
         listener::Listener,
-        operators::{self, Desk},
+        operators::{self, OperatorHandle},
     },
     chestnutrun_net::{HttpLimits, LinkIds, LinkServerConf, LinkTiming, serve_links, tls_config},
     chestnutrun_observe::{Metrics, Timeline, start_logs},
@@ -19,19 +19,19 @@
     tokio::{net::TcpListener, sync::mpsc::channel},
 };
 
-/// Most events that wait for the loop.
+/// Capacity of each event queue of the loop.
 const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// Shortest token of operators and processes, in characters.
-const LEAST_TOKEN_CHARACTERS: usize = 16;
+/// Shortest token of operators and of the site, in characters.
+const MIN_TOKEN_CHARACTERS: usize = 16;
 
-/// How long an idle connection of a caller stays open.
+/// How long a caller's idle connection stays open.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until SIGTERM or SIGINT stops it.
 ///
 /// # Errors
-/// Returns an error where the entry cannot start.
+/// Returns an error if the entry cannot start.
 pub async fn run(arguments: Arguments) -> Result<(), EntryError> {
     let conf: EntryConf = load(&arguments.conf)?;
     if arguments.check_config {
@@ -41,15 +41,15 @@
     start_logs(conf.log.level.into());
     let site_token: Rc<str> = read_token(&conf.site_token_file)?;
     let operator_token = read_token(&conf.operator_token_file)?;
-    let callers_tls = tls(conf.callers_tls.as_ref())?;
-    let operators_tls = tls(conf.operators_tls.as_ref())?;
+    let callers_tls = tls_server_config(conf.callers_tls.as_ref())?;
+    let operators_tls = tls_server_config(conf.operators_tls.as_ref())?;
     let callers_listener = listen(conf.callers).await?;
     let operators_listener = listen(conf.operators).await?;
     let inner_listener = listen(conf.inner).await?;
     let (tx, rx) = channel(MAX_QUEUED_EVENTS);
     let (link_tx, link_rx) = channel(MAX_QUEUED_EVENTS);
-    let me = member(&conf);
-    let table = HttpTable::new(conf.table, client().await?);
+    let me = own_member(&conf);
+    let table = HttpTable::new(conf.table, table_client().await?);
     let ids = LinkIds::default();
     let links = Links::new(me.clone(), site_token.clone(), ids.clone(), link_tx.clone());
     ntex::rt::spawn(callers::serve(
@@ -69,7 +69,7 @@
             limits: operators::LIMITS,
             tls: operators_tls,
         },
-        Desk {
+        OperatorHandle {
             tx: tx.clone(),
             token: operator_token,
             store: Rc::new(table.clone()),
@@ -104,12 +104,12 @@
     }
 }
 
-fn tls(conf: Option<&TlsConf>) -> Result<Option<Arc<ServerConfig>>, EntryError> {
+fn tls_server_config(conf: Option<&TlsConf>) -> Result<Option<Arc<ServerConfig>>, EntryError> {
     let config = conf.map(|conf| tls_config(&conf.certificate_file, &conf.key_file));
     Ok(config.transpose()?)
 }
 
-async fn client() -> Result<Client, EntryError> {
+async fn table_client() -> Result<Client, EntryError> {
     Client::builder()
         .build(SharedCfg::default())
         .await
@@ -122,17 +122,18 @@
         .map_err(|e| EntryError::Listen(address, e))
 }
 
-/// Reads a token; an empty file must not let everybody in.
+/// Reads a token from a file; returns an error if it is too short, because an empty
+/// token would admit everyone.
 fn read_token(path: &Path) -> Result<Rc<str>, EntryError> {
     let text = fs::read_to_string(path).map_err(|e| EntryError::Token(path.to_owned(), e))?;
     let token = text.trim();
-    if token.len() < LEAST_TOKEN_CHARACTERS {
+    if token.len() < MIN_TOKEN_CHARACTERS {
         return Err(EntryError::ShortToken(path.to_owned()));
     }
     Ok(token.into())
 }
 
-fn member(conf: &EntryConf) -> Member {
+fn own_member(conf: &EntryConf) -> Member {
     Member {
         entry: conf.name.as_str().into(),
         incarnation: Now::read().incarnation(),
--- a/crates/entry/src/daemon/table_side.rs
+++ b/crates/entry/src/daemon/table_side.rs
@@ -1,4 +1,4 @@
-//! The platform's table: reads, writes and what follows from them.
+//! Reads and writes the table, and executes the actions of the membership machine.
 
 use {
     crate::{EntryDaemon, event::Event},
@@ -14,6 +14,7 @@
 };
 
 impl EntryDaemon {
+    /// Passes an input to the membership machine and executes its actions.
     pub(super) fn membership_input(&mut self, input: MembershipInput) {
         for action in self.membership.handle(Now::read(), input) {
             self.membership_action(action);
@@ -25,7 +26,7 @@
         match read {
             Ok(snapshot) => self.membership_input(MembershipInput::Read(snapshot)),
             Err(error) => {
-                log::warn!("table was not read: {error}");
+                log::warn!("could not read the table: {error}");
                 self.membership_input(MembershipInput::ReadFailed);
             }
         }
@@ -40,26 +41,26 @@
                 epoch,
                 written_at,
                 known,
-            } => self.own(shard, epoch, Takeover::new(written_at, known)),
+            } => self.begin_ownership(shard, epoch, Takeover::new(written_at, known)),
             MembershipAction::Acknowledged { shard, at, agents } => {
                 self.owner_input(shard, OwnerInput::OwnershipAcknowledged(at, agents));
             }
-            MembershipAction::Send(entry, message) => self.say(&entry, message),
+            MembershipAction::Send(entry, message) => self.send_membership_message(&entry, message),
             MembershipAction::OwnerReady(shard) => {
                 self.front_input(FrontInput::OwnerReady(shard));
             }
             MembershipAction::OwnershipConfirmed { shard, at } => {
                 self.owner_input(shard, OwnerInput::OwnershipConfirmed(at));
             }
-            MembershipAction::OwnershipLost(shard) => self.depose(shard),
+            MembershipAction::OwnershipLost(shard) => self.end_ownership(shard),
             MembershipAction::OwnerChanged(owner) => {
                 self.front_input(FrontInput::OwnerChanged(owner));
             }
             MembershipAction::Confirm(endpoint, confirmation) => {
                 self.send_agent(&endpoint, Message::Confirmation(confirmation));
             }
-            MembershipAction::Members(members) => self.follow(members),
-            MembershipAction::Configured(configuration) => self.configured(&configuration),
+            MembershipAction::Members(members) => self.update_members(members),
+            MembershipAction::Configured(configuration) => self.apply_configuration(&configuration),
         }
     }
 
@@ -68,7 +69,7 @@
         let tx = self.tx.clone();
         ntex::rt::spawn(async move {
             let event = Event::TableRead(read.await.map(Box::new));
-            // The loop is gone only when the process ends.
+            // Sending fails only if the loop has ended, and then the process ends.
             let _ = tx.send(event).await;
         });
     }
@@ -78,16 +79,18 @@
         let tx = self.tx.clone();
         ntex::rt::spawn(async move {
             let result = written.await;
-            // The loop is gone only when the process ends.
+            // Sending fails only if the loop has ended, and then the process ends.
             let _ = tx.send(Event::TableWritten(write, result)).await;
         });
     }
 
-    fn follow(&mut self, list: MemberList) {
+    /// Sets the entries of the site; if they changed, updates the dialers and sends the
+    /// new list to all peers.
+    fn update_members(&mut self, list: MemberList) {
         let is_changed = list.members != self.members.members;
         self.members = list;
         if is_changed {
-            self.links.follow(&self.members.members);
+            self.links.update_members(&self.members.members);
             self.links.send_all(&Message::Members(self.members.clone()));
         }
     }
--- a/crates/entry/src/errors.rs
+++ b/crates/entry/src/errors.rs
@@ -1,4 +1,4 @@
-//! Errors that keep an entry from starting.
+//! Errors that prevent the entry from starting.
 
 use {
     chestnutrun_net::TlsError,
@@ -8,31 +8,31 @@
     thiserror::Error,
 };
 
-/// Why an entry does not start.
+/// Why the entry cannot start.
 #[derive(Debug, Error)]
 pub enum EntryError {
-    /// The settings are wrong.
+    /// The settings are not valid.
     #[error(transparent)]
     Conf(#[from] ConfError),
-    /// An address cannot be listened on.
+    /// The entry cannot listen on an address.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    /// A file with a secret cannot be read.
-    #[error("cannot read the token in {path}: {source}", path = .0.display(), source = .1)]
+    /// A file with a token cannot be read.
+    #[error("cannot read the token file {path}: {source}", path = .0.display(), source = .1)]
     Token(PathBuf, std::io::Error),
-    /// A token is too short to keep anybody out.
-    #[error("the token in {path} is too short; accepted: 16 characters or more", path = .0.display())]
+    /// A token is too short to be a secret.
+    #[error("the token in {path} is too short; it needs 16 characters or more", path = .0.display())]
     ShortToken(PathBuf),
-    /// A certificate or its key cannot be used.
+    /// A TLS certificate or its key is not usable.
     #[error(transparent)]
     Tls(#[from] TlsError),
-    /// Signals cannot be waited for.
-    #[error("cannot wait for signals: {0}")]
+    /// The handler of SIGTERM or SIGINT cannot be installed.
+    #[error("cannot install a signal handler: {0}")]
     Signal(std::io::Error),
-    /// The client for the table cannot be made.
-    #[error("cannot make a client for the table: {0}")]
+    /// The HTTP client for the table cannot be set up.
+    #[error("cannot set up the HTTP client for the table: {0}")]
     Client(String),
-    /// Metrics cannot be kept.
+    /// The metrics cannot be set up.
     #[error(transparent)]
     Metrics(#[from] MetricsError),
 }
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -1,4 +1,4 @@
-//! What the entry's loop waits for, besides links.
+//! Events of the entry's loop.
 
 use {
     crate::operators::{OperatorReply, OperatorRequest},
@@ -8,45 +8,45 @@
     tokio::sync::oneshot,
 };
 
-/// What a caller gets from the loop.
+/// Reply of the loop to a caller's request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum CallerReply {
     /// The contract does not exist, or the token is not its token.
     Unauthorized,
-    /// No configuration was read yet.
+    /// This entry has read no configuration yet.
     NotReady,
-    /// The process is stopping and takes no submission.
+    /// The process is stopping and rejects submissions.
     Stopping,
     /// The owner of the shard replied.
     Owner(Reply),
 }
 
-/// A caller's request.
+/// Request of a caller, whose handler waits for the reply.
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
-    /// Number of the waiting caller.
+    /// Id of the waiting caller.
     pub(crate) waiter: WaiterId,
-    /// The token that came with it.
+    /// Token from the request's header; empty if it has none.
     pub(crate) token: String,
-    /// What is asked for.
+    /// Request to the owner of the job's shard.
     pub(crate) request: Request,
-    /// Where the reply goes.
+    /// Channel for the reply.
     pub(crate) reply: oneshot::Sender<CallerReply>,
 }
 
-/// What the entry's loop waits for.
+/// Event for the entry's loop; events of links have a queue of their own.
 #[derive(Debug)]
 pub(crate) enum Event {
-    /// A caller asks for something.
+    /// A caller sent a request.
     Caller(CallerRequest),
-    /// A caller went away or waited long enough.
+    /// A caller has its reply, disconnected or waited for the longest time allowed.
     Abandon(WaiterId),
-    /// An operator asks for something.
+    /// An operator sent a request.
     Operator(OperatorRequest, oneshot::Sender<OperatorReply>),
     /// A read of the table ended.
     TableRead(Result<Box<TableSnapshot>, TableError>),
-    /// An operator's change was written at a revision of the table.
-    Changed(TableRow, Revision),
+    /// An operator's change of a row was written at this revision of the table.
+    RowChanged(TableRow, Revision),
     /// A write of the table ended.
     TableWritten(TableWrite, WriteResult),
 }
--- a/crates/entry/src/job_body.rs
+++ b/crates/entry/src/job_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of callers' requests.
+//! Body of a submission.
 
 use {
     chestnutrun_types::{JobSpec, KindId, TaskSpec},
@@ -7,28 +7,28 @@
     thiserror::Error,
 };
 
-/// Longest time from a submission to its deadline; within the time for which
-/// starts and answers are recorded.
+/// Longest time from a submission to its deadline. It must be shorter than the time
+/// for which starts and answers are kept.
 pub const MAX_DEADLINE_IN: Duration = Duration::from_mins(5);
 
-/// The deadline is too far away.
+/// The deadline is more than [`MAX_DEADLINE_IN`] ahead.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 #[error("deadline_in is at most 5m")]
 pub struct DeadlineError;
 
-/// One task of a submission's body.
+/// Task in the body of a submission.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskBody {
-    /// What sort of work it is.
+    /// Kind of work; run times are estimated for each kind.
     pub kind: KindId,
-    /// Run time that the caller expects, with a unit.
+    /// Run time that the caller expects, written with a unit.
     #[serde(with = "humantime_serde")]
     pub declared_run_time: Duration,
-    /// Input for the endpoint.
+    /// Input that the endpoint gets unchanged; empty by default.
     #[serde(default)]
     pub input: String,
-    /// Whether a second run would do no harm.
+    /// Whether the task can be run again safely.
     #[serde(default)]
     pub idempotent: bool,
 }
@@ -39,10 +39,11 @@
 pub struct JobBody {
     /// The tasks.
     pub tasks: Vec<TaskBody>,
-    /// Time from now after which no task of the job is started, with a unit.
+    /// Time after the submission from which no task of the job is started, written
+    /// with a unit; 1 min by default.
     #[serde(default = "default_deadline_in", with = "humantime_serde")]
     pub deadline_in: Duration,
-    /// Urgency within the contract; higher goes first.
+    /// Urgency among the contract's jobs; higher values start first.
     #[serde(default)]
     pub urgency: u8,
 }
@@ -52,10 +53,10 @@
 }
 
 impl JobBody {
-    /// Makes a job whose deadline counts from `at`.
+    /// Converts the body to a job that was submitted at `at`.
     ///
     /// # Errors
-    /// Returns an error where the deadline is beyond [`MAX_DEADLINE_IN`].
+    /// Returns an error if `deadline_in` exceeds [`MAX_DEADLINE_IN`].
     pub fn into_spec(self, at: SystemTime) -> Result<JobSpec, DeadlineError> {
         if self.deadline_in > MAX_DEADLINE_IN {
             return Err(DeadlineError);
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! The entry: where callers and operators come in, and where shards are owned.
+//! The entry: serves callers and operators over HTTP, and owns shards of the site.
 
 mod arguments;
 mod callers;
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -9,43 +9,48 @@
     tokio::sync::mpsc::Sender,
 };
 
-/// Who is at the other end of a link.
+/// Process at the other end of a link.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Peer {
-    /// An agent, by its endpoint.
+    /// The agent of this endpoint, which opened the link.
     Agent(EndpointId),
-    /// An entry that dialed this one.
+    /// An entry that opened the link to this one.
     Entry(EntryId),
-    /// An entry that this one dialed.
+    /// An entry to which this one opened the link.
     DialedEntry(EntryId),
 }
 
-/// A peer whose newest link closed.
+/// Loss of the newest link of a peer.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkLoss {
-    /// The peer.
+    /// Peer of the closed link.
     pub(crate) peer: Peer,
-    /// Whether no older link to it is open.
-    pub(crate) is_gone: bool,
+    /// Whether the peer has no other open link.
+    pub(crate) is_disconnected: bool,
 }
 
-/// Links to agents and entries, and the dialers that keep the latter open.
+/// Links to agents and entries, and the dialers that keep the links to entries open.
 #[derive(Debug)]
 pub(crate) struct Links {
     me: Member,
     site_token: Rc<str>,
     ids: LinkIds,
     events: Sender<LinkEvent>,
+    /// Open links, in the order in which they opened.
     open: IndexMap<LinkId, (Link, Peer)>,
+    /// Newest link of each linked agent.
     agents: IndexMap<EndpointId, LinkId>,
+    /// Newest hello of each agent, including agents that are disconnected.
     hellos: IndexMap<EndpointId, AgentHello>,
+    /// Newest link that this entry opened to each entry.
     dialed: IndexMap<EntryId, LinkId>,
+    /// Newest link that each entry opened to this one.
     accepted: IndexMap<EntryId, LinkId>,
     dialers: IndexMap<EntryId, Dialer>,
 }
 
 impl Links {
-    /// Creates a set without links.
+    /// Creates an empty set of links.
     pub(crate) fn new(
         me: Member,
         site_token: Rc<str>,
@@ -66,9 +71,10 @@
         }
     }
 
-    /// Dials the other entries of the site, and no entry that left it.
-    pub(crate) fn follow(&mut self, members: &[Member]) {
-        let gone: Vec<EntryId> = self
+    /// Dials the other entries of the site; closes the dialers of entries that left it
+    /// or changed their address.
+    pub(crate) fn update_members(&mut self, members: &[Member]) {
+        let removed: Vec<EntryId> = self
             .dialers
             .iter()
             .filter(|(entry, dialer)| {
@@ -78,7 +84,7 @@
             })
             .map(|(entry, _)| entry.clone())
             .collect();
-        for entry in gone {
+        for entry in removed {
             if let Some(dialer) = self.dialers.swap_remove(&entry) {
                 dialer.close();
             }
@@ -91,54 +97,56 @@
         }
     }
 
-    /// Notes an agent's link.
-    pub(crate) fn agent_up(&mut self, link: Link, hello: AgentHello) {
+    /// Adds a link that an agent opened.
+    pub(crate) fn add_agent(&mut self, link: Link, hello: AgentHello) {
         let endpoint = hello.endpoint.clone();
         self.agents.insert(endpoint.clone(), link.id());
         self.hellos.insert(endpoint.clone(), hello);
         self.open.insert(link.id(), (link, Peer::Agent(endpoint)));
     }
 
-    /// Notes an agent's newer announcement on its link.
-    pub(crate) fn agent_again(&mut self, hello: AgentHello) {
+    /// Records a newer hello of a linked agent.
+    pub(crate) fn update_agent(&mut self, hello: AgentHello) {
         self.hellos.insert(hello.endpoint.clone(), hello);
     }
 
-    /// Notes a link that an entry opened.
-    pub(crate) fn entry_up(&mut self, link: Link, entry: EntryId) {
+    /// Adds a link that an entry opened.
+    pub(crate) fn add_accepted(&mut self, link: Link, entry: EntryId) {
         self.accepted.insert(entry.clone(), link.id());
         self.open.insert(link.id(), (link, Peer::Entry(entry)));
     }
 
-    /// Notes a link that this entry opened.
-    pub(crate) fn dialed_up(&mut self, link: Link, entry: EntryId) {
+    /// Adds a link that this entry opened.
+    pub(crate) fn add_dialed(&mut self, link: Link, entry: EntryId) {
         self.dialed.insert(entry.clone(), link.id());
         self.open
             .insert(link.id(), (link, Peer::DialedEntry(entry)));
     }
 
-    /// Returns who is at the other end of a link.
+    /// Returns the process at the other end of a link; none if the link is closed.
     pub(crate) fn peer(&self, id: LinkId) -> Option<&Peer> {
         self.open.get(&id).map(|(_, peer)| peer)
     }
 
-    /// Notes a closed link; returns what that means where it was the newest
-    /// link to its peer.
-    pub(crate) fn down(&mut self, id: LinkId) -> Option<LinkLoss> {
+    /// Removes a closed link; returns the loss if it was the newest link of its peer.
+    pub(crate) fn remove(&mut self, id: LinkId) -> Option<LinkLoss> {
         let (link, peer) = self.open.shift_remove(&id)?;
         link.close();
-        let other = self.newest_to(&peer);
+        let replacement = self.newest_to(&peer);
         let was_newest = match &peer {
-            Peer::Agent(endpoint) => replace(&mut self.agents, endpoint, id, other),
-            Peer::Entry(entry) => replace(&mut self.accepted, entry, id, other),
-            Peer::DialedEntry(entry) => replace(&mut self.dialed, entry, id, other),
+            Peer::Agent(endpoint) => replace_newest(&mut self.agents, endpoint, id, replacement),
+            Peer::Entry(entry) => replace_newest(&mut self.accepted, entry, id, replacement),
+            Peer::DialedEntry(entry) => replace_newest(&mut self.dialed, entry, id, replacement),
         };
-        let is_gone = other.is_none();
-        was_newest.then_some(LinkLoss { peer, is_gone })
+        let is_disconnected = replacement.is_none();
+        was_newest.then_some(LinkLoss {
+            peer,
+            is_disconnected,
+        })
     }
 
-    /// Whether a message on this link counts: an older link of an agent may
-    /// carry messages that were overtaken.
+    /// Returns whether messages on this link are valid. Messages on an older link of
+    /// an agent may be outdated by those on its newest link.
     pub(crate) fn is_newest(&self, id: LinkId) -> bool {
         match self.peer(id) {
             Some(Peer::Agent(endpoint)) => self.agents.get(endpoint) == Some(&id),
@@ -147,17 +155,18 @@
         }
     }
 
+    /// Returns the open link to a peer that was opened last.
     fn newest_to(&self, peer: &Peer) -> Option<LinkId> {
         let mut to_peer = self.open.iter().filter(|(_, (_, other))| other == peer);
         to_peer.next_back().map(|(id, _)| *id)
     }
 
-    /// Returns the newest announcement of an endpoint's agent.
+    /// Returns the newest hello of an endpoint's agent.
     pub(crate) fn hello(&self, endpoint: &EndpointId) -> Option<&AgentHello> {
         self.hellos.get(endpoint)
     }
 
-    /// Returns every agent that was ever linked, and whether it is now.
+    /// Returns every agent that was ever linked, each with whether it is linked now.
     pub(crate) fn known_agents(&self) -> Vec<(AgentHello, bool)> {
         self.hellos
             .values()
@@ -165,31 +174,35 @@
             .collect()
     }
 
-    /// Sends a message to an agent; returns false where it is out of reach.
+    /// Sends a message to an agent; returns false if the agent is not linked or the
+    /// message cannot be queued.
     pub(crate) fn send_agent(&self, endpoint: &EndpointId, message: Message) -> bool {
         let id = self.agents.get(endpoint);
         self.send(id.copied(), message)
     }
 
-    /// Sends a message to an entry; returns false where it is out of reach.
+    /// Sends a message to an entry on the link that this entry opened; returns false if
+    /// there is none or the message cannot be queued.
     pub(crate) fn send_entry(&self, entry: &EntryId, message: Message) -> bool {
         self.send(self.dialed.get(entry).copied(), message)
     }
 
-    /// Answers an entry on the link on which it asks, so that it knows when
-    /// the answer may be lost; returns false where that link is gone.
-    pub(crate) fn answer_entry(&self, entry: &EntryId, message: Message) -> bool {
+    /// Replies to an entry on the link that it opened and on which it sends its
+    /// requests: if that link closes, the entry knows that replies may be lost.
+    /// Returns false if there is none or the message cannot be queued.
+    pub(crate) fn reply_to_entry(&self, entry: &EntryId, message: Message) -> bool {
         self.send(self.accepted.get(entry).copied(), message)
     }
 
-    /// Sends a message to every agent and every entry.
+    /// Sends a message to every linked agent and every linked entry.
     pub(crate) fn send_all(&self, message: &Message) {
         for id in self.agents.values().chain(self.dialed.values()) {
             self.send(Some(*id), message.clone());
         }
     }
 
-    /// Sends a configuration to every entry, and to every agent its part.
+    /// Sends a configuration to every linked entry, and to every linked agent the part
+    /// of its endpoint.
     pub(crate) fn send_configuration(&self, configuration: &Configuration) {
         for (endpoint, id) in &self.agents {
             let part = configuration.for_endpoint(endpoint);
@@ -200,12 +213,12 @@
         }
     }
 
-    /// Returns how many agents and how many entries are linked.
+    /// Returns the numbers of linked agents and linked entries.
     pub(crate) fn counts(&self) -> (usize, usize) {
         (self.agents.len(), self.dialed.len())
     }
 
-    /// Closes every link.
+    /// Closes all dialers and their links.
     pub(crate) fn close(self) {
         for (_, dialer) in self.dialers {
             dialer.close();
@@ -231,21 +244,21 @@
     }
 }
 
-/// Puts another link, or none, in the place of a closed one; returns whether
-/// it was there.
-fn replace<K: std::hash::Hash + Eq>(
-    of: &mut IndexMap<K, LinkId>,
+/// Replaces a peer's closed link by another one, or removes it if there is none;
+/// returns false if the closed link was not the newest of its peer.
+fn replace_newest<K: std::hash::Hash + Eq>(
+    links: &mut IndexMap<K, LinkId>,
     key: &K,
     closed: LinkId,
-    other: Option<LinkId>,
+    replacement: Option<LinkId>,
 ) -> bool {
-    let Some(newest) = of.get_mut(key).filter(|newest| **newest == closed) else {
+    let Some(newest) = links.get_mut(key).filter(|newest| **newest == closed) else {
         return false;
     };
-    match other {
-        Some(other) => *newest = other,
+    match replacement {
+        Some(replacement) => *newest = replacement,
         None => {
-            of.swap_remove(key);
+            links.swap_remove(key);
         }
     }
     true
--- a/crates/entry/src/listener.rs
+++ b/crates/entry/src/listener.rs
@@ -1,4 +1,4 @@
-//! An address that is served by HTTP.
+//! Serves an application over HTTP on one address.
 
 use {
     crate::problem::Problem,
@@ -14,16 +14,16 @@
     tokio::net::TcpListener,
 };
 
-/// An address that is served by HTTP.
+/// Listening socket and the settings of its HTTP server.
 #[derive(Debug)]
 pub(crate) struct Listener {
-    /// What connections come from.
+    /// Socket that accepts connections.
     pub(crate) socket: TcpListener,
-    /// What it is called in logs.
+    /// Name of the address in logs.
     pub(crate) name: &'static str,
-    /// Limits of its requests.
+    /// Limits of headers and of idle connections.
     pub(crate) limits: HttpLimits,
-    /// Configuration of TLS; none serves plain HTTP.
+    /// TLS configuration; none for plain HTTP.
     pub(crate) tls: Option<Arc<ServerConfig>>,
 }
 
@@ -45,7 +45,8 @@
     }
 }
 
-/// Answers a request that never reached the application.
+/// Returns the response to a request that the HTTP server rejected before the
+/// application saw it.
 fn fault_response(fault: RequestFault) -> Response {
     let (status, name, detail) = match fault {
         RequestFault::HeadTooLarge => (
--- a/crates/entry/src/main.rs
+++ b/crates/entry/src/main.rs
@@ -1,4 +1,4 @@
-//! Daemon of the entry.
+//! Binary of the entry daemon.
 
 use {
     chestnutrun_entry::{Arguments, run},
--- a/crates/entry/src/operators/conditions.rs
+++ b/crates/entry/src/operators/change_headers.rs
@@ -1,4 +1,4 @@
-//! Headers of a change: its condition, its operation and its operator.
+//! Reads the headers of a change: expected revision, operation id and operator.
 
 use {
     crate::problem::Problem,
@@ -10,52 +10,53 @@
     uuid::Uuid,
 };
 
-/// Header that makes a repeated change harmless.
+/// Header with the id of the change; a change that is sent again with the same id
+/// takes effect once.
 const OPERATION_HEADER: &str = "operation-id";
 
-/// Header with the name of the operator, for the history.
+/// Header with the operator's name, which the history of changes shows.
 const OPERATOR_HEADER: &str = "operator-name";
 
 /// Longest operation id or operator's name, in characters.
 const MAX_CHARACTERS: usize = 64;
 
-/// Headers of a change.
+/// Values from the headers of a change.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct Conditions {
-    /// Revision that the row must have; 0 where it must not exist.
+pub(crate) struct ChangeHeaders {
+    /// Revision that the row must have; 0 if it must not exist.
     pub(crate) expected: Revision,
-    /// Id of the operation.
+    /// Id of the operation; a random one if the header is missing.
     pub(crate) operation: String,
-    /// Name of the operator.
+    /// Name of the operator; empty if the header is missing.
     pub(crate) operator: String,
 }
 
-impl Conditions {
-    /// Reads the headers of a change.
-    pub(crate) fn read(req: &HttpRequest) -> Result<Self, Problem> {
+impl ChangeHeaders {
+    /// Reads the headers of a change; returns a problem if one is not valid.
+    pub(crate) fn from_request(req: &HttpRequest) -> Result<Self, Problem> {
         Ok(Self {
-            expected: if_match(req)?,
-            operation: match short_text(req, OPERATION_HEADER)? {
+            expected: expected_revision(req)?,
+            operation: match short_header(req, OPERATION_HEADER)? {
                 Some(id) => id,
                 None => Uuid::new_v4().to_string(),
             },
-            operator: short_text(req, OPERATOR_HEADER)?.unwrap_or_default(),
+            operator: short_header(req, OPERATOR_HEADER)?.unwrap_or_default(),
         })
     }
 }
 
-fn if_match(req: &HttpRequest) -> Result<Revision, Problem> {
+fn expected_revision(req: &HttpRequest) -> Result<Revision, Problem> {
     let Some(value) = req.headers().get(header::IF_MATCH) else {
         return Ok(0);
     };
     let text = value.to_str().unwrap_or_default();
     text.trim_matches('"').parse().map_err(|_| {
-        let detail = "If-Match takes the present revision, such as `\"12\"`";
+        let detail = "If-Match must be the present revision, such as `\"12\"`";
         Problem::new(StatusCode::BAD_REQUEST, "bad-if-match", detail)
     })
 }
 
-fn short_text(req: &HttpRequest, name: &str) -> Result<Option<String>, Problem> {
+fn short_header(req: &HttpRequest, name: &str) -> Result<Option<String>, Problem> {
     let Some(value) = req.headers().get(name) else {
         return Ok(None);
     };
@@ -64,6 +65,6 @@
     if (1..=MAX_CHARACTERS).contains(&text.len()) && is_visible {
         return Ok(Some(text.to_owned()));
     }
-    let detail = format!("{name} has 1 to {MAX_CHARACTERS} visible ASCII characters");
+    let detail = format!("{name} must have 1 to {MAX_CHARACTERS} visible ASCII characters");
     Err(Problem::new(StatusCode::BAD_REQUEST, "bad-header", detail))
 }
--- a/crates/entry/src/operators/changes.rs
+++ b/crates/entry/src/operators/changes.rs
@@ -1,9 +1,9 @@
-//! Changes of contracts and drains.
+//! Handlers for changes of contracts and drains.
 
 use {
     crate::{
-        callers::parse,
-        operators::{Desk, conditions::Conditions},
+        callers::parse_json,
+        operators::{OperatorHandle, change_headers::ChangeHeaders},
         problem::Problem,
         request_body::read_body,
     },
@@ -22,12 +22,12 @@
     std::time::SystemTime,
 };
 
-/// A change that was written.
+/// Response to a change that was written.
 #[derive(Debug, Serialize)]
 struct ChangePage {
-    /// Revision of the row from now on.
+    /// New revision of the row.
     revision: Revision,
-    /// Id of the operation.
+    /// Id of the operation, from the request or new.
     operation: String,
 }
 
@@ -35,36 +35,36 @@
 pub(crate) async fn put_contract(
     req: HttpRequest,
     payload: Payload,
-    desk: State<Desk>,
+    handle: State<OperatorHandle>,
 ) -> HttpResponse {
     let limits = RequestLimits::default();
     let body = read_body(&req, payload, &limits).await;
-    let row = desk
-        .check(&req)
+    let row = handle
+        .check_token(&req)
         .and(body)
-        .and_then(|buf| contract(&req, &buf));
-    answer(&req, &desk, row.map(TableRow::Contract)).await
+        .and_then(|buf| read_contract(&req, &buf));
+    write_row(&req, &handle, row.map(TableRow::Contract)).await
 }
 
 /// Drains an endpoint.
-pub(crate) async fn drain(req: HttpRequest, desk: State<Desk>) -> HttpResponse {
+pub(crate) async fn drain(req: HttpRequest, handle: State<OperatorHandle>) -> HttpResponse {
     let row = drain_row(&req, DrainState::Draining);
-    answer(&req, &desk, desk.check(&req).map(|()| row)).await
+    write_row(&req, &handle, handle.check_token(&req).map(|()| row)).await
 }
 
 /// Returns an endpoint to service.
-pub(crate) async fn undrain(req: HttpRequest, desk: State<Desk>) -> HttpResponse {
+pub(crate) async fn undrain(req: HttpRequest, handle: State<OperatorHandle>) -> HttpResponse {
     let row = drain_row(&req, DrainState::Serving);
-    answer(&req, &desk, desk.check(&req).map(|()| row)).await
+    write_row(&req, &handle, handle.check_token(&req).map(|()| row)).await
 }
 
-/// Shows the latest changes of a contract.
-pub(crate) async fn history(req: HttpRequest, desk: State<Desk>) -> HttpResponse {
-    if let Err(problem) = desk.check(&req) {
+/// Returns the latest changes of a contract.
+pub(crate) async fn history(req: HttpRequest, handle: State<OperatorHandle>) -> HttpResponse {
+    if let Err(problem) = handle.check_token(&req) {
         return problem.response();
     }
     let id = req.match_info().get("contract").unwrap_or_default();
-    match desk.store.history(id.into()).await {
+    match handle.store.history(id.into()).await {
         Ok(entries) => HttpResponse::Ok().json(&json!({"contract": id, "changes": entries})),
         Err(error) => Problem::new(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -75,10 +75,12 @@
     }
 }
 
-fn contract(req: &HttpRequest, buf: &[u8]) -> Result<Contract, Problem> {
-    let contract: Contract = parse(buf)?;
+fn read_contract(req: &HttpRequest, buf: &[u8]) -> Result<Contract, Problem> {
+    let contract: Contract = parse_json(buf)?;
     if Some(&*contract.id) != req.match_info().get("contract") {
-        return Err(bad_contract("the contract's id and the path differ"));
+        return Err(bad_contract(
+            "the contract's id differs from the id in the path",
+        ));
     }
     match contract.check() {
         Ok(()) => Ok(contract),
@@ -95,33 +97,37 @@
     TableRow::Drain(endpoint.into(), state)
 }
 
-async fn answer(req: &HttpRequest, desk: &Desk, row: Result<TableRow, Problem>) -> HttpResponse {
-    let change = row.and_then(|row| change(req, row));
+async fn write_row(
+    req: &HttpRequest,
+    handle: &OperatorHandle,
+    row: Result<TableRow, Problem>,
+) -> HttpResponse {
+    let change = row.and_then(|row| new_change(req, row));
     match change {
-        Ok(change) => write(desk, change).await,
+        Ok(change) => write_change(handle, change).await,
         Err(problem) => problem.response(),
     }
 }
 
-fn change(req: &HttpRequest, row: TableRow) -> Result<Change, Problem> {
-    let conditions = Conditions::read(req)?;
+fn new_change(req: &HttpRequest, row: TableRow) -> Result<Change, Problem> {
+    let headers = ChangeHeaders::from_request(req)?;
     Ok(Change {
         write: TableWrite {
             row,
-            expected: conditions.expected,
+            expected: headers.expected,
         },
-        operation: conditions.operation,
-        operator: conditions.operator,
+        operation: headers.operation,
+        operator: headers.operator,
         at: SystemTime::now(),
     })
 }
 
-async fn write(desk: &Desk, change: Change) -> HttpResponse {
+async fn write_change(handle: &OperatorHandle, change: Change) -> HttpResponse {
     let operation = change.operation.clone();
     let row = change.write.row.clone();
-    match desk.store.change(change).await {
+    match handle.store.change(change).await {
         ChangeResult::Accepted(revision) => {
-            desk.tell(row, revision).await;
+            handle.apply_change(row, revision).await;
             HttpResponse::Ok()
                 .header(header::ETAG, format!("\"{revision}\""))
                 .json(&ChangePage {
@@ -129,26 +135,26 @@
                     operation,
                 })
         }
-        ChangeResult::Conflict(present) => conflict(present).response(),
-        ChangeResult::Unknown => unknown(operation).response(),
+        ChangeResult::Conflict(current) => conflict(current).response(),
+        ChangeResult::Unknown => outcome_unknown(operation).response(),
     }
 }
 
-fn conflict(present: CurrentRow) -> Problem {
+fn conflict(current: CurrentRow) -> Problem {
     let detail = "If-Match does not name the present revision; nothing was written";
     let mut problem = Problem::new(StatusCode::CONFLICT, "conflict", detail)
-        .with("present_revision", present.revision);
-    if let Some(contract) = present.contract {
+        .with("present_revision", current.revision);
+    if let Some(contract) = current.contract {
         problem = problem.with("present", json!(contract));
     }
-    if let Some(drain) = present.drain {
+    if let Some(drain) = current.drain {
         problem = problem.with("present", json!(drain));
     }
     problem
 }
 
-fn unknown(operation: String) -> Problem {
-    let detail = "the table gave no answer, so the change may be written or not; \
+fn outcome_unknown(operation: String) -> Problem {
+    let detail = "the table did not answer, so the change may or may not be written; \
                   send the same request again with this operation id";
     Problem::new(StatusCode::SERVICE_UNAVAILABLE, "outcome-unknown", detail)
         .maybe_run()
--- a/crates/entry/src/operators/mod.rs
+++ b/crates/entry/src/operators/mod.rs
@@ -1,14 +1,14 @@
-//! HTTP for operators.
+//! HTTP interface for operators.
 
+mod change_headers;
 mod changes;
-mod conditions;
-mod desk;
+mod operator_handle;
 mod pages;
 mod request;
 mod routes;
 
 pub(crate) use {
-    desk::Desk,
+    operator_handle::OperatorHandle,
     pages::{ContractPage, ContractsPage, EndpointPage, EndpointsPage},
     request::{OperatorReply, OperatorRequest},
     routes::{LIMITS, serve},
--- a/crates/entry/src/operators/desk.rs
+++ b/crates/entry/src/operators/operator_handle.rs
@@ -1,4 +1,4 @@
-//! What the handlers of operators' requests share.
+//! Passes operators' requests to the loop and its replies back.
 
 use {
     crate::{
@@ -17,23 +17,24 @@
     tokio::sync::{mpsc::Sender, oneshot},
 };
 
-/// What the handlers share.
+/// Handle through which the handlers of operators' requests reach the loop and the
+/// table.
 #[derive(Clone, Debug)]
-pub(crate) struct Desk {
-    /// Where requests go.
+pub(crate) struct OperatorHandle {
+    /// Queue of the loop.
     pub(crate) tx: Sender<Event>,
-    /// The operators' token.
+    /// Token that operators must send.
     pub(crate) token: Rc<str>,
-    /// Where changes are written.
+    /// Where changes are written and their history is read.
     pub(crate) store: Rc<dyn ConfigurationStore>,
 }
 
-impl Desk {
-    /// Asks the loop for a page.
-    pub(crate) async fn ask(&self, request: OperatorRequest) -> HttpResponse {
-        let (reply, answer) = oneshot::channel();
+impl OperatorHandle {
+    /// Sends a request to the loop and returns its reply as a response.
+    pub(crate) async fn respond(&self, request: OperatorRequest) -> HttpResponse {
+        let (reply, reply_rx) = oneshot::channel();
         let sent = self.tx.send(Event::Operator(request, reply)).await;
-        match (sent, answer.await) {
+        match (sent, reply_rx.await) {
             (Ok(()), Ok(OperatorReply::Text(status, text))) => {
                 let status = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
                 HttpResponse::build(status)
@@ -46,25 +47,25 @@
         }
     }
 
-    /// Tells the loop of an accepted change, so that it is in force before the
-    /// table is read again.
-    pub(crate) async fn tell(&self, row: TableRow, revision: Revision) {
-        // A loop that ended has nothing left to configure.
-        let _ = self.tx.send(Event::Changed(row, revision)).await;
+    /// Passes an accepted change to the loop, so that it takes effect before the table
+    /// is read again.
+    pub(crate) async fn apply_change(&self, row: TableRow, revision: Revision) {
+        // Sending fails only if the loop has ended; then there is nothing to configure.
+        let _ = self.tx.send(Event::RowChanged(row, revision)).await;
     }
 
-    /// Checks the operators' token.
-    pub(crate) fn check(&self, req: &HttpRequest) -> Result<(), Problem> {
+    /// Checks that a request has the operators' token.
+    pub(crate) fn check_token(&self, req: &HttpRequest) -> Result<(), Problem> {
         let value = req.headers().get(header::AUTHORIZATION);
         let sent = value.map(header::HeaderValue::as_bytes).unwrap_or_default();
-        let wanted = format!("Bearer {}", self.token);
-        if bool::from(sent.ct_eq(wanted.as_bytes())) {
+        let expected = format!("Bearer {}", self.token);
+        if bool::from(sent.ct_eq(expected.as_bytes())) {
             return Ok(());
         }
         Err(Problem::new(
             StatusCode::UNAUTHORIZED,
             "unauthorized",
-            "this needs the operators' token",
+            "this path needs the operators' token",
         ))
     }
 }
--- a/crates/entry/src/operators/pages.rs
+++ b/crates/entry/src/operators/pages.rs
@@ -1,4 +1,4 @@
-//! Pages of the configuration in force.
+//! JSON pages of contracts and endpoints.
 
 use {
     chestnutrun_types::{
@@ -8,55 +8,55 @@
     serde::Serialize,
 };
 
-/// A contract with the revision that a change must name.
+/// Contract with its revision, which a change must name.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ContractPage {
-    /// Revision of the contract.
+    /// Revision of the contract's row.
     pub(crate) revision: Revision,
     /// The contract.
     #[serde(flatten)]
     pub(crate) contract: Contract,
 }
 
-/// Every contract in force at a process.
+/// All contracts in the configuration of an entry.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ContractsPage {
     /// Revision of the whole configuration.
     pub(crate) revision: Revision,
-    /// Contracts by name.
+    /// Contracts by id.
     pub(crate) contracts: IndexMap<ContractId, ContractPage>,
 }
 
-/// An endpoint, as an entry knows it.
+/// State of an endpoint, as an entry knows it.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct EndpointPage {
     /// Name of the endpoint.
     pub(crate) endpoint: EndpointId,
-    /// What operators ordered.
+    /// Whether operators have drained the endpoint.
     pub(crate) drain: DrainState,
-    /// Revision that a change of `drain` must name; 0 for the first change.
+    /// Revision that a change of `drain` must name; 0 if there was no change yet.
     pub(crate) revision: Revision,
-    /// Whether its agent has a link to this entry.
+    /// Whether the endpoint's agent is linked to this entry.
     pub(crate) linked: bool,
-    /// Whether its agent said that it is leaving.
+    /// Whether the agent has announced that it is stopping.
     pub(crate) leaving: bool,
-    /// Slots that it announced.
+    /// Slots that the agent announced; 0 before its first hello.
     pub(crate) slots: u32,
-    /// Shard whose owner may use it, where it announced itself.
+    /// Shard whose owner may use the endpoint; none before the agent's first hello.
     pub(crate) shard: Option<ShardId>,
-    /// Where it runs, where it announced itself.
+    /// Availability zone of the endpoint; none before the agent's first hello.
     pub(crate) zone: Option<ZoneId>,
 }
 
-/// Every endpoint that an entry knows or that operators named.
+/// All endpoints that an entry knows from agents or from operators' changes.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct EndpointsPage {
-    /// The endpoints, by name.
+    /// Endpoints, sorted by name.
     pub(crate) endpoints: Vec<EndpointPage>,
 }
 
 impl ContractPage {
-    /// Finds a contract of the configuration.
+    /// Creates the page of a contract; returns none if the configuration lacks it.
     pub(crate) fn find(configuration: &Configuration, id: &str) -> Option<Self> {
         let contract = configuration.contracts.get(id)?;
         let revision = configuration.rows.contracts.get(id);
@@ -68,7 +68,7 @@
 }
 
 impl ContractsPage {
-    /// Shows every contract of the configuration.
+    /// Creates the page of all contracts of the configuration.
     pub(crate) fn new(configuration: &Configuration) -> Self {
         let ids = configuration.contracts.keys();
         let pages = ids.filter_map(|id| {
@@ -83,8 +83,8 @@
 }
 
 impl EndpointPage {
-    /// Shows an endpoint that is known by name only.
-    pub(crate) fn unseen(configuration: &Configuration, endpoint: &EndpointId) -> Self {
+    /// Creates the page of an endpoint whose agent has not been linked yet.
+    pub(crate) fn unannounced(configuration: &Configuration, endpoint: &EndpointId) -> Self {
         let drain = if configuration.is_draining(endpoint) {
             DrainState::Draining
         } else {
--- a/crates/entry/src/operators/request.rs
+++ b/crates/entry/src/operators/request.rs
@@ -1,33 +1,33 @@
-//! What operators ask of an entry's loop.
+//! Operators' requests to the loop, and its replies.
 
 use {crate::problem::Problem, chestnutrun_types::ContractId, serde_json::Value};
 
-/// What an operator asks for.
+/// Request of an operator for a page.
 #[derive(Clone, Debug)]
 pub(crate) enum OperatorRequest {
-    /// Whether the process may get requests.
+    /// Readiness: the configuration is read and the entry is not stopping.
     Ready,
-    /// Metrics in Prometheus format.
+    /// All metrics, in Prometheus format.
     Metrics,
-    /// State of the process.
+    /// Current state of the entry.
     Status,
     /// Recent events.
     Timeline,
-    /// Every contract.
+    /// All contracts.
     Contracts,
     /// One contract.
     Contract(ContractId),
-    /// Every endpoint that is known.
+    /// All endpoints that the entry knows.
     Endpoints,
 }
 
-/// What an operator gets.
+/// Reply of the loop to an operator's request.
 #[derive(Clone, Debug)]
 pub(crate) enum OperatorReply {
-    /// Plain text, with a status.
+    /// HTTP status code and plain text.
     Text(u16, String),
-    /// JSON.
+    /// JSON body.
     Json(Value),
-    /// A problem document.
+    /// Problem document.
     Problem(Problem),
 }
--- a/crates/entry/src/operators/routes.rs
+++ b/crates/entry/src/operators/routes.rs
@@ -1,10 +1,10 @@
-//! Paths for operators.
+//! HTTP routes of operators.
 
 use {
     crate::{
         listener::Listener,
         operators::{
-            Desk, OperatorRequest,
+            OperatorHandle, OperatorRequest,
             changes::{drain, history, put_contract, undrain},
         },
         problem::{method_not_allowed, not_found},
@@ -18,7 +18,7 @@
     std::time::Duration,
 };
 
-/// Limits of the operators' address.
+/// HTTP limits of the operators' address.
 pub(crate) const LIMITS: HttpLimits = HttpLimits {
     head_timeout: Duration::from_secs(5),
     keep_alive: Duration::from_secs(75),
@@ -26,30 +26,30 @@
 };
 
 /// Serves operators until the process ends.
-pub(crate) async fn serve(listener: Listener, desk: Desk) {
-    let open = |path: &str, request: OperatorRequest| {
-        let page = web::get().to(move |desk: State<Desk>| {
+pub(crate) async fn serve(listener: Listener, handle: OperatorHandle) {
+    let public = |path: &str, request: OperatorRequest| {
+        let page = web::get().to(move |handle: State<OperatorHandle>| {
             let request = request.clone();
-            async move { desk.ask(request).await }
+            async move { handle.respond(request).await }
         });
         read_only(path, page)
     };
-    let guarded = |path: &str, request: OperatorRequest| {
-        let page = web::get().to(move |req: HttpRequest, desk: State<Desk>| {
+    let protected = |path: &str, request: OperatorRequest| {
+        let page = web::get().to(move |req: HttpRequest, handle: State<OperatorHandle>| {
             let request = request.clone();
-            async move { ask_guarded(&req, &desk, request).await }
+            async move { check_and_respond(&req, &handle, request).await }
         });
         read_only(path, page)
     };
     let app = App::new()
-        .state(desk)
+        .state(handle)
         .service(read_only("/live", web::get().to(live)))
-        .service(open("/ready", OperatorRequest::Ready))
-        .service(open("/metrics", OperatorRequest::Metrics))
-        .service(guarded("/v1/status", OperatorRequest::Status))
-        .service(guarded("/v1/timeline", OperatorRequest::Timeline))
-        .service(guarded("/v1/contracts", OperatorRequest::Contracts))
-        .service(guarded("/v1/endpoints", OperatorRequest::Endpoints))
+        .service(public("/ready", OperatorRequest::Ready))
+        .service(public("/metrics", OperatorRequest::Metrics))
+        .service(protected("/v1/status", OperatorRequest::Status))
+        .service(protected("/v1/timeline", OperatorRequest::Timeline))
+        .service(protected("/v1/contracts", OperatorRequest::Contracts))
+        .service(protected("/v1/endpoints", OperatorRequest::Endpoints))
         .service(
             web::resource("/v1/contracts/{contract}")
                 .route(web::get().to(contract))
@@ -70,7 +70,7 @@
     listener.serve(app).await;
 }
 
-/// Makes a resource that can only be read.
+/// Creates a resource that supports only GET.
 fn read_only(path: &str, page: web::Route) -> web::Resource<web::DefaultError> {
     web::resource(path)
         .route(page)
@@ -83,15 +83,19 @@
         .body("live\n")
 }
 
-async fn contract(req: HttpRequest, desk: State<Desk>) -> HttpResponse {
+async fn contract(req: HttpRequest, handle: State<OperatorHandle>) -> HttpResponse {
     let id = req.match_info().get("contract").unwrap_or_default();
     let request = OperatorRequest::Contract(id.into());
-    ask_guarded(&req, &desk, request).await
+    check_and_respond(&req, &handle, request).await
 }
 
-async fn ask_guarded(req: &HttpRequest, desk: &Desk, request: OperatorRequest) -> HttpResponse {
-    match desk.check(req) {
-        Ok(()) => desk.ask(request).await,
+async fn check_and_respond(
+    req: &HttpRequest,
+    handle: &OperatorHandle,
+    request: OperatorRequest,
+) -> HttpResponse {
+    match handle.check_token(req) {
+        Ok(()) => handle.respond(request).await,
         Err(problem) => problem.response(),
     }
 }
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -1,4 +1,4 @@
-//! Problem documents after RFC 9457.
+//! Problem documents, as RFC 9457 defines them.
 
 use {
     chestnutrun_types::{Refusal, RefusalReason},
@@ -12,45 +12,45 @@
     std::time::SystemTime,
 };
 
-/// Beginning of every problem type.
+/// Prefix of every problem type.
 const TYPE_PREFIX: &str = "urn:chestnutrun:problem:";
 
 /// Media type of problem documents.
 const MEDIA_TYPE: &str = "application/problem+json";
 
-/// Seconds after which another try is sensible where nothing else is known.
+/// Seconds in `Retry-After` if the problem has no moment for a retry.
 const DEFAULT_RETRY_SECONDS: u64 = 1;
 
-/// A problem document.
+/// Problem document: the body of a response that reports an error.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct Problem {
-    /// Stable type.
+    /// Type, a URN that programs can match.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Type, for people.
+    /// Type, in words for people.
     pub title: String,
-    /// Status code of the response.
+    /// HTTP status code of the response.
     pub status: u16,
-    /// What is wrong with this request.
+    /// Description of what is wrong with this request.
     pub detail: String,
-    /// Whether it is certain that nothing of the request ran or will run.
+    /// Whether it is certain that no part of the request ran or will run.
     pub not_run: bool,
-    /// Line of the body, from 1, where the problem is there.
+    /// Line of the error in the body, from 1; none if the error is elsewhere.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub line: Option<u32>,
-    /// Column of the line, from 1, where the problem is there.
+    /// Column of the error in its line, from 1; none if the error is elsewhere.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub column: Option<u32>,
-    /// Further members of this type of problem.
+    /// Further members, which only some problem types have.
     #[serde(flatten)]
-    pub more: Box<IndexMap<&'static str, Value>>,
-    /// Moment from which another try is sensible.
+    pub extra: Box<IndexMap<&'static str, Value>>,
+    /// Earliest moment at which a retry can succeed; sent as `Retry-After`.
     #[serde(skip)]
     pub retry_at: Option<SystemTime>,
 }
 
 impl Problem {
-    /// Creates a problem of a request that did not run.
+    /// Creates the problem of a request that did not run.
     #[must_use]
     pub fn new(status: StatusCode, name: &str, detail: impl Into<String>) -> Self {
         Self {
@@ -61,19 +61,19 @@
             not_run: true,
             line: None,
             column: None,
-            more: Box::default(),
+            extra: Box::default(),
             retry_at: None,
         }
     }
 
-    /// Takes back the claim that nothing of the request ran.
+    /// Clears `not_run`: a part of the request may have run.
     #[must_use]
     pub fn maybe_run(mut self) -> Self {
         self.not_run = false;
         self
     }
 
-    /// Names the place in the body.
+    /// Sets the place of the error in the body, both counted from 1.
     #[must_use]
     pub fn at(mut self, line: usize, column: usize) -> Self {
         self.line = u32::try_from(line).ok();
@@ -81,23 +81,23 @@
         self
     }
 
-    /// Adds a further member.
+    /// Adds a member that only this problem type has.
     #[must_use]
     pub fn with(mut self, name: &'static str, value: impl Into<Value>) -> Self {
-        self.more.insert(name, value.into());
+        self.extra.insert(name, value.into());
         self
     }
 
-    /// Creates the problem of a refusal.
+    /// Creates the problem of a refused submission, which did not run.
     #[must_use]
     pub fn refused(refusal: &Refusal) -> Self {
-        let (status, name, detail) = describe(refusal.reason);
+        let (status, name, detail) = describe_refusal(refusal.reason);
         let mut problem = Self::new(status, name, detail);
         problem.retry_at = refusal.retry_at;
         problem
     }
 
-    /// Creates the problem of a request about which nothing is known now.
+    /// Creates the problem of a request whose outcome cannot be determined now.
     #[must_use]
     pub fn unavailable(refusal: &Refusal) -> Self {
         let mut problem = Self::refused(refusal);
@@ -106,7 +106,7 @@
         problem
     }
 
-    /// Makes the response.
+    /// Makes the HTTP response with this document.
     #[must_use]
     pub fn response(&self) -> HttpResponse {
         let status = StatusCode::from_u16(self.status).unwrap_or(StatusCode::BAD_REQUEST);
@@ -133,15 +133,16 @@
     }
 }
 
-/// Makes the response to a request for an unknown path.
+/// Returns the response to a request for an unknown path.
 pub(crate) fn not_found() -> HttpResponse {
     let detail = "there is no such path";
     Problem::new(StatusCode::NOT_FOUND, "not-found", detail).response()
 }
 
-/// Makes the response to a request with a wrong method.
+/// Returns the response to a method that the path does not support; `allowed`
+/// lists those that it does.
 pub(crate) fn method_not_allowed(allowed: &'static str) -> HttpResponse {
-    let detail = format!("this path takes {allowed}");
+    let detail = format!("this path supports only {allowed}");
     let problem = Problem::new(StatusCode::METHOD_NOT_ALLOWED, "method-not-allowed", detail);
     let mut res = problem.response();
     let value = header::HeaderValue::from_static(allowed);
@@ -149,7 +150,7 @@
     res
 }
 
-fn describe(reason: RefusalReason) -> (StatusCode, &'static str, &'static str) {
+fn describe_refusal(reason: RefusalReason) -> (StatusCode, &'static str, &'static str) {
     use RefusalReason as R;
     match reason {
         R::UnknownContract => (
@@ -170,7 +171,7 @@
         R::DeadlineTooNear => (
             StatusCode::UNPROCESSABLE_ENTITY,
             "deadline-too-near",
-            "the deadline leaves no time to run",
+            "the deadline is too near for a task to run",
         ),
         R::KeyReused => (
             StatusCode::CONFLICT,
@@ -185,7 +186,7 @@
         R::TakingOver => (
             StatusCode::SERVICE_UNAVAILABLE,
             "taking-over",
-            "the shard's new owner is reading records",
+            "the shard's new owner is still reading records",
         ),
         R::NeverRunnable => (
             StatusCode::UNPROCESSABLE_ENTITY,
@@ -200,7 +201,7 @@
         R::RetriesExhausted => (
             StatusCode::SERVICE_UNAVAILABLE,
             "retries-exhausted",
-            "no endpoint took the task within the retry budget",
+            "no endpoint accepted the task within the retry budget",
         ),
     }
 }
--- a/crates/entry/src/request_body.rs
+++ b/crates/entry/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a request within limits.
+//! Reads request bodies within limits of size and time.
 
 use {
     crate::problem::Problem,
@@ -13,13 +13,13 @@
     tokio::time::timeout,
 };
 
-/// Longest body that is dropped for a response, in bytes.
-const MAX_DISCARDED: usize = 1024 * 1024;
+/// Longest body that is read and discarded, in bytes.
+const MAX_DISCARDED_BYTES: usize = 1024 * 1024;
 
-/// How long a body that is dropped may take to arrive.
+/// How long a discarded body may take to arrive.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Reads a whole body; a problem means that nothing of the request ran.
+/// Reads a whole body; if it returns a problem, nothing of the request ran.
 pub(crate) async fn read_body(
     req: &HttpRequest,
     payload: Payload,
@@ -29,7 +29,7 @@
     let reading = collect_body(payload, limits.body_size.bytes(), declared);
     match timeout(limits.body_timeout, reading).await {
         Ok(Ok(Some(buf))) => Ok(buf),
-        Ok(Ok(None)) => Err(too_long(limits)),
+        Ok(Ok(None)) => Err(body_too_long(limits)),
         Ok(Err(detail)) => Err(Problem::new(
             StatusCode::BAD_REQUEST,
             "body-cut-off",
@@ -43,13 +43,17 @@
     }
 }
 
-/// Reads and drops a body, so that the connection can be used again.
+/// Reads and discards a body, so that the connection can be reused.
 pub(crate) async fn discard_body(payload: Payload) {
-    // A connection whose body goes on is closed after the response.
-    let _ = timeout(DISCARD_TIMEOUT, collect_body(payload, MAX_DISCARDED, 0)).await;
+    // If the body exceeds a limit, the connection is closed after the response.
+    let _ = timeout(
+        DISCARD_TIMEOUT,
+        collect_body(payload, MAX_DISCARDED_BYTES, 0),
+    )
+    .await;
 }
 
-fn too_long(limits: &RequestLimits) -> Problem {
+fn body_too_long(limits: &RequestLimits) -> Problem {
     Problem::new(
         StatusCode::PAYLOAD_TOO_LARGE,
         "body-too-long",
--- a/crates/entry/src/shards.rs
+++ b/crates/entry/src/shards.rs
@@ -12,7 +12,7 @@
     std::rc::Rc,
 };
 
-/// Machines of the shards that this entry owns.
+/// Decision machines of the shards that this entry owns.
 #[derive(Debug)]
 pub(crate) struct Shards {
     policy: PolicyName,
@@ -20,7 +20,7 @@
 }
 
 impl Shards {
-    /// Creates a set without shards.
+    /// Creates an empty set; the machines created later use this policy.
     pub(crate) fn new(policy: PolicyName) -> Self {
         Self {
             policy,
@@ -28,8 +28,11 @@
         }
     }
 
-    /// Begins an ownership with the agents that are known.
-    pub(crate) fn own(
+    /// Creates the machine of a shard that this entry now owns.
+    ///
+    /// Of `agents`, each with whether its link is open, the machine learns the
+    /// linked agents of its shard.
+    pub(crate) fn begin_ownership(
         &mut self,
         now: Now,
         conf: OwnerConf,
@@ -38,7 +41,7 @@
         configuration: Rc<Configuration>,
     ) -> Vec<OwnerAction> {
         let shard = conf.shard;
-        let policy = policy(self.policy);
+        let policy = new_policy(self.policy);
         let mut machine = OwnerMachine::new(conf, configuration, policy, takeover);
         let mut actions = Vec::new();
         for (hello, is_linked) in agents {
@@ -51,12 +54,13 @@
         actions
     }
 
-    /// Ends an ownership.
-    pub(crate) fn depose(&mut self, shard: ShardId) {
+    /// Removes the machine of a shard that this entry no longer owns.
+    pub(crate) fn end_ownership(&mut self, shard: ShardId) {
         self.machines.shift_remove(&shard);
     }
 
-    /// Passes an input to the machine of one shard.
+    /// Passes an input to the machine of one shard; does nothing if this entry does
+    /// not own the shard.
     pub(crate) fn handle(
         &mut self,
         now: Now,
@@ -69,7 +73,7 @@
         }
     }
 
-    /// Passes an input to the machine of every shard.
+    /// Passes an input to the machines of all owned shards.
     pub(crate) fn handle_all(&mut self, now: Now, input: &OwnerInput) -> Vec<OwnerAction> {
         let mut actions = Vec::new();
         for machine in self.machines.values_mut() {
@@ -78,18 +82,18 @@
         actions
     }
 
-    /// Returns each machine.
+    /// Returns the machines of all owned shards.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &OwnerMachine> {
         self.machines.values()
     }
 
-    /// Whether a job waits, runs or is being recovered.
+    /// Returns whether a job of an owned shard waits, runs or is being recovered.
     pub(crate) fn has_open_jobs(&self) -> bool {
         self.machines.values().any(OwnerMachine::has_open_jobs)
     }
 }
 
-fn policy(name: PolicyName) -> Box<dyn Policy> {
+fn new_policy(name: PolicyName) -> Box<dyn Policy> {
     match name {
         PolicyName::FirstCome => Box::new(FirstCome::default()),
         PolicyName::RandomEndpoint => {
