--- a/crates/entry/src/callers/caller_handle.rs
+++ b/crates/entry/src/callers/caller_handle.rs
@@ -199,12 +199,12 @@
 }
 
 fn unknown_job(job: &JobRef) -> Problem {
-    let detail = format!("job {job} is not known; its records may have expired");
+    let detail = format!("no job {job} is known; it may be older than the records");
     Problem::new(StatusCode::NOT_FOUND, "unknown-job", detail).maybe_run()
 }
 
 fn no_receipt() -> Problem {
     let detail = "the owner of the job's shard did not reply in time; \
-                  submit or query again with the same key";
+                  submit or ask again with the same key";
     Problem::new(StatusCode::SERVICE_UNAVAILABLE, "no-receipt", detail).maybe_run()
 }
--- a/crates/entry/src/callers/routes.rs
+++ b/crates/entry/src/callers/routes.rs
@@ -121,7 +121,7 @@
         Err(error) => Err(Problem::new(
             StatusCode::BAD_REQUEST,
             "bad-query",
-            format!("{error}; the only parameter of the query is `wait`, such as `wait=2s`"),
+            format!("{error}; the query has at most `wait`, such as `wait=2s`"),
         )),
     }
 }
--- a/crates/entry/src/daemon/operators_side.rs
+++ b/crates/entry/src/daemon/operators_side.rs
@@ -73,7 +73,7 @@
             None => OperatorReply::Problem(Problem::new(
                 StatusCode::NOT_FOUND,
                 "unknown-contract",
-                format!("contract {id} does not exist at this entry"),
+                format!("no contract {id} is in force at this entry"),
             )),
         }
     }
--- a/crates/entry/src/operators/change_headers.rs
+++ b/crates/entry/src/operators/change_headers.rs
@@ -51,7 +51,7 @@
     };
     let text = value.to_str().unwrap_or_default();
     text.trim_matches('"').parse().map_err(|_| {
-        let detail = "If-Match must be the present revision, such as `\"12\"`";
+        let detail = "If-Match takes the present revision, such as `\"12\"`";
         Problem::new(StatusCode::BAD_REQUEST, "bad-if-match", detail)
     })
 }
@@ -65,6 +65,6 @@
     if (1..=MAX_CHARACTERS).contains(&text.len()) && is_visible {
         return Ok(Some(text.to_owned()));
     }
-    let detail = format!("{name} must have 1 to {MAX_CHARACTERS} visible ASCII characters");
+    let detail = format!("{name} has 1 to {MAX_CHARACTERS} visible ASCII characters");
     Err(Problem::new(StatusCode::BAD_REQUEST, "bad-header", detail))
 }
--- a/crates/entry/src/operators/changes.rs
+++ b/crates/entry/src/operators/changes.rs
@@ -78,9 +78,7 @@
 fn read_contract(req: &HttpRequest, buf: &[u8]) -> Result<Contract, Problem> {
     let contract: Contract = parse_json(buf)?;
     if Some(&*contract.id) != req.match_info().get("contract") {
-        return Err(bad_contract(
-            "the contract's id differs from the id in the path",
-        ));
+        return Err(bad_contract("the contract's id and the path differ"));
     }
     match contract.check() {
         Ok(()) => Ok(contract),
@@ -154,7 +152,7 @@
 }
 
 fn outcome_unknown(operation: String) -> Problem {
-    let detail = "the table did not answer, so the change may or may not be written; \
+    let detail = "the table gave no answer, so the change may be written or not; \
                   send the same request again with this operation id";
     Problem::new(StatusCode::SERVICE_UNAVAILABLE, "outcome-unknown", detail)
         .maybe_run()
--- a/crates/entry/src/operators/operator_handle.rs
+++ b/crates/entry/src/operators/operator_handle.rs
@@ -65,7 +65,7 @@
         Err(Problem::new(
             StatusCode::UNAUTHORIZED,
             "unauthorized",
-            "this path needs the operators' token",
+            "this needs the operators' token",
         ))
     }
 }
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -142,7 +142,7 @@
 /// Returns the response to a method that the path does not support; `allowed`
 /// lists those that it does.
 pub(crate) fn method_not_allowed(allowed: &'static str) -> HttpResponse {
-    let detail = format!("this path supports only {allowed}");
+    let detail = format!("this path takes {allowed}");
     let problem = Problem::new(StatusCode::METHOD_NOT_ALLOWED, "method-not-allowed", detail);
     let mut res = problem.response();
     let value = header::HeaderValue::from_static(allowed);
@@ -171,7 +171,7 @@
         R::DeadlineTooNear => (
             StatusCode::UNPROCESSABLE_ENTITY,
             "deadline-too-near",
-            "the deadline is too near for a task to run",
+            "the deadline leaves no time to run",
         ),
         R::KeyReused => (
             StatusCode::CONFLICT,
@@ -186,7 +186,7 @@
         R::TakingOver => (
             StatusCode::SERVICE_UNAVAILABLE,
             "taking-over",
-            "the shard's new owner is still reading records",
+            "the shard's new owner is reading records",
         ),
         R::NeverRunnable => (
             StatusCode::UNPROCESSABLE_ENTITY,
@@ -201,7 +201,7 @@
         R::RetriesExhausted => (
             StatusCode::SERVICE_UNAVAILABLE,
             "retries-exhausted",
-            "no endpoint accepted the task within the retry budget",
+            "no endpoint took the task within the retry budget",
         ),
     }
 }
--- a/crates/table/src/errors.rs
+++ b/crates/table/src/errors.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum TableError {
     /// The table could not be reached, or its answer did not arrive in time.
-    #[error("table is unreachable: {0}")]
+    #[error("table cannot be reached: {0}")]
     Unreachable(String),
     /// The table answered with this HTTP error status.
     #[error("table answered with status {0}")]
