--- a/crates/entry/src/operators/change_headers.rs
+++ b/crates/entry/src/operators/change_headers.rs
@@ -35,7 +35,7 @@
     /// Reads the headers of a change; returns a problem if one is not valid.
     pub(crate) fn from_request(req: &HttpRequest) -> Result<Self, Problem> {
         Ok(Self {
-            expected: expected_revision(req)?,
+            expected: required_revision(req)?,
             operation: match short_header(req, OPERATION_HEADER)? {
                 Some(id) => id,
                 None => Uuid::new_v4().to_string(),
@@ -45,7 +45,7 @@
     }
 }
 
-fn expected_revision(req: &HttpRequest) -> Result<Revision, Problem> {
+fn required_revision(req: &HttpRequest) -> Result<Revision, Problem> {
     let Some(value) = req.headers().get(header::IF_MATCH) else {
         return Ok(0);
     };
