--- a/crates/observe/src/event.rs
+++ b/crates/observe/src/event.rs
@@ -1,4 +1,4 @@
-//! Events of the time line.
+//! Events of the timeline.
 
 use {
     chestnutrun_types::{ContractId, EndpointId, IdempotencyKey, TaskIndex},
@@ -9,16 +9,16 @@
 /// Name of a process of the site.
 pub type ProcessId = Arc<str>;
 
-/// Position of an event among those of its process, from 1.
+/// Number of an event among those of its process, from 1.
 pub type Sequence = u64;
 
-/// What happened.
+/// Kinds of timeline events.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EventKind {
     /// A caller submitted a job.
     Submitted,
-    /// The owner took a submission in: its tasks wait for slots.
+    /// The owner accepted a submission, whose tasks now wait for slots.
     Admitted,
     /// The owner refused a submission.
     Refused,
@@ -30,19 +30,19 @@
     StartRefused,
     /// A task ended.
     Ended,
-    /// An entry was told that a job is accepted and goes on.
+    /// An entry received the owner's confirmation that a job is accepted.
     Receipt,
-    /// An entry was told that a job was refused or is not known.
+    /// An entry received the reply that a job was refused or is unknown.
     Declined,
-    /// An entry was told a job's whole answer.
+    /// An entry received the complete answer of a job.
     Answered,
     /// This process became a shard's owner.
     Owned,
     /// This process is no longer a shard's owner.
     Deposed,
-    /// A link opened.
+    /// A link to another process opened.
     LinkUp,
-    /// A link closed.
+    /// A link to another process closed.
     LinkDown,
     /// A configuration came into force.
     Configured,
@@ -53,7 +53,7 @@
 /// One event of a process.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Event {
-    /// Position among the events of its process.
+    /// Number among the events of its process, from 1.
     pub sequence: Sequence,
     /// Wall clock of the process.
     pub at: SystemTime,
@@ -61,14 +61,14 @@
     pub process: ProcessId,
     /// What happened.
     pub kind: EventKind,
-    /// Contract of the job, where there is one.
+    /// Contract of the job; none if the event is not about a job.
     pub contract: Option<ContractId>,
-    /// Key of the job, where there is one.
+    /// Key of the job; none if the event is not about a job.
     pub key: Option<IdempotencyKey>,
-    /// Position of the task in its job, where there is one.
+    /// Position of the task in its job; none if the event is not about a task.
     pub task: Option<TaskIndex>,
-    /// The endpoint, where there is one.
+    /// Endpoint of the task; none if the event is not about a task.
     pub endpoint: Option<EndpointId>,
-    /// More, for people.
+    /// Further information for people; may be empty.
     pub detail: Cow<'static, str>,
 }
--- a/crates/observe/src/gathered/causes.rs
+++ b/crates/observe/src/gathered/causes.rs
@@ -1,4 +1,4 @@
-//! Finds the cause of each event.
+//! Finds which event caused another, by the job, task and endpoint they share.
 
 use {
     crate::{Event, EventKind},
@@ -6,33 +6,35 @@
     indexmap::IndexMap,
 };
 
-type JobName = (ContractId, IdempotencyKey);
-type Place = Option<(TaskIndex, Option<EndpointId>)>;
+type JobKey = (ContractId, IdempotencyKey);
 
-/// Events by what they are about, in the order of time.
-type ByName = IndexMap<(EventKind, JobName, Place), Vec<usize>>;
+/// A task, at one endpoint or, if there is none, at any; none for the whole job.
+type TaskPlace = Option<(TaskIndex, Option<EndpointId>)>;
 
-/// Returns the position of each event's cause, where one is known.
+/// Positions of events by their kind and subject, oldest first.
+type EventIndex = IndexMap<(EventKind, JobKey, TaskPlace), Vec<usize>>;
+
+/// Returns for each event the position of its cause, or none if it is not known.
 ///
-/// `events` must be in the order of time.
+/// `events` must be ordered by time.
 pub(super) fn causes(events: &[Event]) -> Vec<Option<usize>> {
-    let by_name = by_name(events);
+    let index = index_events(events);
     events
         .iter()
         .enumerate()
-        .map(|(effect, event)| cause(&by_name, events, effect, event))
+        .map(|(effect, event)| cause(&index, events, effect, event))
         .collect()
 }
 
-fn by_name(events: &[Event]) -> ByName {
-    let mut by_name = ByName::new();
+fn index_events(events: &[Event]) -> EventIndex {
+    let mut index = EventIndex::new();
     for (position, event) in events.iter().enumerate() {
         let Some(job) = job_of(event) else { continue };
         let at_endpoint = event.task.map(|task| (task, event.endpoint.clone()));
         let anywhere = event.task.map(|task| (task, None));
         let mut add = |place| {
-            let name = (event.kind, job.clone(), place);
-            by_name.entry(name).or_default().push(position);
+            let subject = (event.kind, job.clone(), place);
+            index.entry(subject).or_default().push(position);
         };
         add(None);
         if event.task.is_some() {
@@ -40,22 +42,23 @@
             add(anywhere);
         }
     }
-    by_name
+    index
 }
 
-fn cause(by_name: &ByName, events: &[Event], effect: usize, event: &Event) -> Option<usize> {
+/// Returns the position of the event that caused the one at `effect`.
+fn cause(index: &EventIndex, events: &[Event], effect: usize, event: &Event) -> Option<usize> {
     use EventKind as K;
     let job = job_of(event)?;
     let at_endpoint = event.task.map(|task| (task, event.endpoint.clone()));
     let anywhere = event.task.map(|task| (task, None));
-    let nearest = |kind, place: &Place| {
-        let name = (kind, job.clone(), place.clone());
-        let positions = by_name.get(&name)?;
+    let nearest = |kind, place: &TaskPlace| {
+        let subject = (kind, job.clone(), place.clone());
+        let positions = index.get(&subject)?;
         nearest(events, positions, effect)
     };
     match event.kind {
         K::Admitted | K::Refused => nearest(K::Submitted, &None),
-        K::StartSent => earlier(effect, nearest(K::StartRefused, &anywhere))
+        K::StartSent => only_earlier(effect, nearest(K::StartRefused, &anywhere))
             .or_else(|| nearest(K::Admitted, &None)),
         K::Started | K::StartRefused => nearest(K::StartSent, &at_endpoint),
         K::Ended => nearest(K::Started, &at_endpoint),
@@ -66,8 +69,9 @@
     }
 }
 
-/// Returns the last candidate before the effect or, where clocks differ so much
-/// that there is none, the first after it.
+/// Returns the last candidate before the effect, preferably one of the same
+/// process. If there is none, because the clocks of two processes differ, returns
+/// the first candidate of another process after the effect.
 fn nearest(events: &[Event], candidates: &[usize], effect: usize) -> Option<usize> {
     let before = candidates.partition_point(|candidate| *candidate < effect);
     let same_process = |candidate: &&usize| events[**candidate].process == events[effect].process;
@@ -82,10 +86,11 @@
     own.or_else(other).or_else(later).copied()
 }
 
-fn earlier(effect: usize, cause: Option<usize>) -> Option<usize> {
+/// Returns the cause only if it stands before the effect.
+fn only_earlier(effect: usize, cause: Option<usize>) -> Option<usize> {
     cause.filter(|cause| *cause < effect)
 }
 
-fn job_of(event: &Event) -> Option<JobName> {
+fn job_of(event: &Event) -> Option<JobKey> {
     Some((event.contract.clone()?, event.key.clone()?))
 }
--- a/crates/observe/src/gathered/filter.rs
+++ b/crates/observe/src/gathered/filter.rs
@@ -1,8 +1,9 @@
-//! Chooses events.
+//! Selects events by job, endpoint and time.
 
 use {crate::Event, std::time::SystemTime};
 
-/// Which events are chosen; what is not set chooses all.
+/// Conditions on events, all of which must hold; one that is not set always
+/// holds.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EventFilter {
     contract: Option<String>,
@@ -13,21 +14,21 @@
 }
 
 impl EventFilter {
-    /// Starts to build a filter that chooses every event.
+    /// Starts with a filter that selects every event.
     #[must_use]
     pub fn builder() -> EventFilterBuilder {
         EventFilterBuilder::default()
     }
 
-    /// Whether an event is chosen.
+    /// Returns whether the filter selects an event.
     #[must_use]
     pub fn chooses(&self, event: &Event) -> bool {
-        let is = |wanted: &Option<String>, value: Option<&str>| {
+        let is_unset_or_equal = |wanted: &Option<String>, value: Option<&str>| {
             wanted.is_none() || wanted.as_deref() == value
         };
-        is(&self.contract, event.contract.as_deref())
-            && is(&self.key, event.key.as_deref())
-            && is(&self.endpoint, event.endpoint.as_deref())
+        is_unset_or_equal(&self.contract, event.contract.as_deref())
+            && is_unset_or_equal(&self.key, event.key.as_deref())
+            && is_unset_or_equal(&self.endpoint, event.endpoint.as_deref())
             && self.since.is_none_or(|since| event.at >= since)
             && self.until.is_none_or(|until| event.at < until)
     }
@@ -40,35 +41,35 @@
 }
 
 impl EventFilterBuilder {
-    /// Chooses events of one contract.
+    /// Selects the events of one contract.
     #[must_use]
     pub fn contract(mut self, contract: Option<String>) -> Self {
         self.filter.contract = contract;
         self
     }
 
-    /// Chooses events of the job with one key.
+    /// Selects the events of jobs with one idempotency key.
     #[must_use]
     pub fn key(mut self, key: Option<String>) -> Self {
         self.filter.key = key;
         self
     }
 
-    /// Chooses events at one endpoint.
+    /// Selects the events at one endpoint.
     #[must_use]
     pub fn endpoint(mut self, endpoint: Option<String>) -> Self {
         self.filter.endpoint = endpoint;
         self
     }
 
-    /// Chooses events from a moment on.
+    /// Selects the events at or after a time.
     #[must_use]
     pub fn since(mut self, since: Option<SystemTime>) -> Self {
         self.filter.since = since;
         self
     }
 
-    /// Chooses events before a moment.
+    /// Selects the events before a time.
     #[must_use]
     pub fn until(mut self, until: Option<SystemTime>) -> Self {
         self.filter.until = until;
--- a/crates/observe/src/gathered/mod.rs
+++ b/crates/observe/src/gathered/mod.rs
@@ -1,4 +1,4 @@
-//! The events of many processes, put together.
+//! Merges the timelines of several processes into one.
 
 mod causes;
 mod filter;
--- a/crates/observe/src/gathered/order.rs
+++ b/crates/observe/src/gathered/order.rs
@@ -1,4 +1,4 @@
-//! Orders the events of many processes by cause, then by time.
+//! Orders the events of several processes by cause, then by time.
 
 use {
     crate::{Event, ProcessId, Sequence, gathered::causes::causes},
@@ -7,34 +7,34 @@
     std::{cmp::Reverse, collections::BinaryHeap},
 };
 
-/// Names an event.
+/// Identifies an event.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EventRef {
     /// Name of the process.
     pub process: ProcessId,
-    /// Position among the events of the process.
+    /// Number of the event among those of the process.
     pub sequence: Sequence,
 }
 
-/// An event and what caused it.
+/// An event with a reference to its cause.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CausedEvent {
     /// The event.
     #[serde(flatten)]
     pub event: Event,
-    /// Its cause, where it is known and was gathered.
+    /// The event that caused it; none if that is unknown or was not collected.
     pub cause: Option<EventRef>,
 }
 
-/// Orders events: a cause goes before its effects and the events of a process
-/// keep their order, whatever the clocks say; else the earlier goes first.
+/// Orders events by time, but puts a cause before its effects and keeps the order
+/// of each process's own events, however much the clocks differ.
 #[must_use]
 pub fn order(events: impl IntoIterator<Item = Event>) -> Vec<CausedEvent> {
     let mut events: Vec<Event> = events.into_iter().collect();
-    events.sort_by(|a, b| key(a).cmp(&key(b)));
+    events.sort_by(|a, b| sort_key(a).cmp(&sort_key(b)));
     let causes = causes(&events);
-    let mut effects = Effects::new(&events, &causes);
-    let order = effects.take_in_order();
+    let mut graph = EffectGraph::new(&events, &causes);
+    let order = graph.drain_in_order();
     order
         .into_iter()
         .map(|position| CausedEvent {
@@ -47,56 +47,60 @@
         .collect()
 }
 
-fn key(event: &Event) -> (std::time::SystemTime, &str, Sequence) {
+fn sort_key(event: &Event) -> (std::time::SystemTime, &str, Sequence) {
     (event.at, &event.process, event.sequence)
 }
 
-/// What must come after each event.
-struct Effects {
-    after: Vec<Vec<usize>>,
-    waits_for: Vec<usize>,
+/// Which events must come after which others, by their positions.
+struct EffectGraph {
+    /// Events that must come after each event.
+    effects: Vec<Vec<usize>>,
+    /// How many events must still come before each event.
+    pending_causes: Vec<usize>,
 }
 
-impl Effects {
+impl EffectGraph {
     fn new(events: &[Event], causes: &[Option<usize>]) -> Self {
-        let mut effects = Self {
-            after: vec![Vec::new(); events.len()],
-            waits_for: vec![0; events.len()],
+        let mut graph = Self {
+            effects: vec![Vec::new(); events.len()],
+            pending_causes: vec![0; events.len()],
         };
         for (effect, cause) in causes.iter().enumerate() {
             if let Some(cause) = cause {
-                effects.add(*cause, effect);
+                graph.add(*cause, effect);
             }
         }
         for positions in by_process(events).values() {
             for pair in positions.windows(2) {
-                effects.add(pair[0], pair[1]);
+                graph.add(pair[0], pair[1]);
             }
         }
-        effects
+        graph
     }
 
     fn add(&mut self, cause: usize, effect: usize) {
-        self.after[cause].push(effect);
-        self.waits_for[effect] += 1;
+        self.effects[cause].push(effect);
+        self.pending_causes[effect] += 1;
     }
 
-    fn take_in_order(&mut self) -> Vec<usize> {
-        let mut order = Vec::with_capacity(self.after.len());
-        let free = |(_, waits): &(usize, &usize)| **waits == 0;
-        let ready = self.waits_for.iter().enumerate().filter(free);
+    /// Removes all events in order: each time the first by position whose causes
+    /// are all removed.
+    fn drain_in_order(&mut self) -> Vec<usize> {
+        let mut order = Vec::with_capacity(self.effects.len());
+        let has_no_cause = |(_, pending): &(usize, &usize)| **pending == 0;
+        let ready = self.pending_causes.iter().enumerate().filter(has_no_cause);
         let mut ready: BinaryHeap<Reverse<usize>> = ready.map(|(i, _)| Reverse(i)).collect();
         while let Some(Reverse(position)) = ready.pop() {
             order.push(position);
-            for effect in std::mem::take(&mut self.after[position]) {
-                self.waits_for[effect] -= 1;
-                if self.waits_for[effect] == 0 {
+            for effect in std::mem::take(&mut self.effects[position]) {
+                self.pending_causes[effect] -= 1;
+                if self.pending_causes[effect] == 0 {
                     ready.push(Reverse(effect));
                 }
             }
         }
-        // Clocks that jump can make causes go in circles: time decides there.
-        order.extend((0..self.waits_for.len()).filter(|i| self.waits_for[*i] > 0));
+        // A clock that jumps can make causes circular; those events go by time.
+        order.extend((0..self.pending_causes.len()).filter(|i| self.pending_causes[*i] > 0));
         order
     }
 }
--- a/crates/observe/src/gathered/text.rs
+++ b/crates/observe/src/gathered/text.rs
@@ -1,4 +1,4 @@
-//! Events as lines of text.
+//! Formats events as lines of text.
 
 use {
     crate::{EventKind, gathered::CausedEvent},
@@ -6,7 +6,7 @@
     std::fmt::Write,
 };
 
-/// Returns an event as one line of text; `at` is the shown time.
+/// Formats an event as one line of text; `at` is its time as it is shown.
 #[must_use]
 pub fn event_line(caused: &CausedEvent, at: impl std::fmt::Display) -> String {
     let event = &caused.event;
@@ -15,7 +15,7 @@
         "{at} {:<18} {:<6} {kind:<13}",
         event.process, event.sequence
     );
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     if let (Some(contract), Some(key)) = (&event.contract, &event.key) {
         let _ = write!(line, " {contract}/{key}");
     }
@@ -34,7 +34,7 @@
     line
 }
 
-/// Returns the name that JSON gives to a kind of event.
+/// Returns the name of an event kind in JSON.
 pub(super) fn kind_name(kind: EventKind) -> String {
     match serde_json::to_value(kind) {
         Ok(Value::String(name)) => name,
--- a/crates/observe/src/gathered/trace_file.rs
+++ b/crates/observe/src/gathered/trace_file.rs
@@ -1,4 +1,4 @@
-//! Events in the trace event format of browsers' trace viewers.
+//! Converts events to the trace event format, which browsers' trace viewers read.
 
 use {
     crate::{
@@ -11,7 +11,7 @@
     std::time::SystemTime,
 };
 
-/// A file for a browser's trace viewer.
+/// A file in the trace event format.
 #[derive(Debug, Serialize)]
 struct TraceFile {
     #[serde(rename = "traceEvents")]
@@ -20,7 +20,7 @@
     unit: &'static str,
 }
 
-/// One event of the file.
+/// One event of a [`TraceFile`].
 #[derive(Debug, Serialize)]
 struct TraceEvent {
     name: String,
@@ -28,7 +28,7 @@
     category: &'static str,
     #[serde(rename = "ph")]
     phase: &'static str,
-    /// Wall clock, in microseconds.
+    /// Wall clock, in microseconds since the Unix epoch.
     #[serde(rename = "ts")]
     at: u64,
     #[serde(rename = "pid")]
@@ -43,30 +43,30 @@
 
 /// Returns the events as JSON for a browser's trace viewer.
 ///
-/// Each process has its own track. A run is a bar from its start to its end, a
-/// job a bar from its submission to its reply, and an arrow goes from each
-/// cause in another process to its effect.
+/// Each process has its own track. A bar shows a run from its start to its end or
+/// a job from its submission to its reply. An arrow leads from a cause to its
+/// effect in another process.
 #[must_use]
 pub fn trace_file(events: &[CausedEvent]) -> Value {
     let processes: IndexSet<&ProcessId> = events.iter().map(|e| &e.event.process).collect();
     let number = |process: &ProcessId| processes.get_index_of(process).unwrap_or(0) + 1;
     let mut trace: Vec<TraceEvent> = processes
         .iter()
-        .map(|process| process_name(number(process), process))
+        .map(|process| process_name_event(number(process), process))
         .collect();
-    let known: IndexMap<(&str, u64), &Event> = events
+    let by_ref: IndexMap<(&str, u64), &Event> = events
         .iter()
         .map(|e| ((&*e.event.process, e.event.sequence), &e.event))
         .collect();
     for caused in events {
         let event = &caused.event;
         let process = number(&event.process);
-        trace.push(instant(event, process));
-        trace.extend(bar(event, process));
+        trace.push(instant_event(event, process));
+        trace.extend(bar_end(event, process));
         let cause = caused.cause.as_ref();
-        let cause = cause.and_then(|cause| known.get(&(&*cause.process, cause.sequence)));
+        let cause = cause.and_then(|cause| by_ref.get(&(&*cause.process, cause.sequence)));
         if let Some(cause) = cause.filter(|cause| cause.process != event.process) {
-            trace.extend(arrow(cause, number(&cause.process), event, process));
+            trace.extend(arrow_ends(cause, number(&cause.process), event, process));
         }
     }
     json!(TraceFile {
@@ -75,7 +75,8 @@
     })
 }
 
-fn process_name(process: usize, name: &str) -> TraceEvent {
+/// Names the track of a process.
+fn process_name_event(process: usize, name: &str) -> TraceEvent {
     TraceEvent {
         name: "process_name".to_owned(),
         category: "metadata",
@@ -88,7 +89,8 @@
     }
 }
 
-fn instant(event: &Event, process: usize) -> TraceEvent {
+/// Returns the mark of an event on its process's track.
+fn instant_event(event: &Event, process: usize) -> TraceEvent {
     TraceEvent {
         name: kind_name(event.kind),
         category: "event",
@@ -101,8 +103,8 @@
     }
 }
 
-/// Returns the begin or the end of a run's or a job's bar.
-fn bar(event: &Event, process: usize) -> Option<TraceEvent> {
+/// Returns the begin or end of the bar of a run or a job; none for other events.
+fn bar_end(event: &Event, process: usize) -> Option<TraceEvent> {
     let (category, phase) = match event.kind {
         EventKind::Submitted => ("job", "b"),
         EventKind::Answered | EventKind::Declined => ("job", "e"),
@@ -126,7 +128,8 @@
     })
 }
 
-fn arrow(cause: &Event, from: usize, effect: &Event, to: usize) -> [TraceEvent; 2] {
+/// Returns the begin and the end of the arrow from a cause to its effect.
+fn arrow_ends(cause: &Event, from: usize, effect: &Event, to: usize) -> [TraceEvent; 2] {
     let id = EventRef {
         process: effect.process.clone(),
         sequence: effect.sequence,
--- a/crates/observe/src/timeline.rs
+++ b/crates/observe/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The recent events of one process, in a bounded ring.
+//! The recent events of one process, in a ring buffer.
 
 use {
     crate::{Event, EventKind, ProcessId, Sequence},
@@ -6,13 +6,13 @@
     std::{borrow::Cow, collections::VecDeque, time::SystemTime},
 };
 
-/// Most events that a process keeps.
+/// Maximum number of events that a process keeps; older ones are dropped.
 const MAX_EVENTS: usize = 16_384;
 
 /// The recent events of one process.
 ///
-/// Names are shared with the messages that they came in, so that an event costs
-/// no copy of a string.
+/// Ids are reference-counted and shared with the message that brought them, so
+/// that adding an event copies no string.
 #[derive(Debug)]
 pub struct Timeline {
     process: ProcessId,
@@ -21,7 +21,7 @@
 }
 
 impl Timeline {
-    /// Creates an empty time line.
+    /// Creates an empty timeline.
     pub fn new(process: impl Into<ProcessId>) -> Self {
         Self {
             process: process.into(),
@@ -30,26 +30,26 @@
         }
     }
 
-    /// Adds an event of the process itself.
+    /// Adds an event about the process itself.
     pub fn process(
         &mut self,
         at: SystemTime,
         kind: EventKind,
         detail: impl Into<Cow<'static, str>>,
     ) {
-        let event = self.next(at, kind, detail);
+        let event = self.next_event(at, kind, detail);
         self.push(event);
     }
 
-    /// Adds an event of a job.
+    /// Adds an event about a job.
     pub fn job(&mut self, at: SystemTime, kind: EventKind, job: &JobRef, detail: &'static str) {
-        let mut event = self.next(at, kind, detail);
+        let mut event = self.next_event(at, kind, detail);
         event.contract = Some(job.contract.clone());
         event.key = Some(job.key.clone());
         self.push(event);
     }
 
-    /// Adds an event of a task at an endpoint.
+    /// Adds an event about a task at an endpoint.
     pub fn task(
         &mut self,
         at: SystemTime,
@@ -58,7 +58,7 @@
         endpoint: &EndpointId,
         detail: &'static str,
     ) {
-        let mut event = self.next(at, kind, detail);
+        let mut event = self.next_event(at, kind, detail);
         event.contract = Some(task.contract.clone());
         event.key = Some(task.key.clone());
         event.task = Some(task.index);
@@ -66,12 +66,18 @@
         self.push(event);
     }
 
-    /// Returns the events, the oldest first.
+    /// Returns the events, oldest first.
     pub fn events(&self) -> impl Iterator<Item = &Event> {
         self.events.iter()
     }
 
-    fn next(&self, at: SystemTime, kind: EventKind, detail: impl Into<Cow<'static, str>>) -> Event {
+    /// Builds the next event, without adding it.
+    fn next_event(
+        &self,
+        at: SystemTime,
+        kind: EventKind,
+        detail: impl Into<Cow<'static, str>>,
+    ) -> Event {
         Event {
             sequence: self.sequence + 1,
             at,
--- a/crates/observe/tests/gathered.rs
+++ b/crates/observe/tests/gathered.rs
@@ -1,4 +1,4 @@
-//! The time line over all processes: causes, order and forms.
+//! The merged timeline of several processes: causes, order and output formats.
 
 use {
     chestnutrun_observe::{
@@ -25,9 +25,9 @@
     job().task(0)
 }
 
-/// One task, submitted at one entry and owned by another; the agent's clock is
-/// wrong by `skew` milliseconds.
-fn one_task(skew: i64) -> Vec<Event> {
+/// Returns the events of one task that was submitted to one entry and owned by
+/// another. The agent's clock is `skew` milliseconds fast, or slow if negative.
+fn events_of_one_task(skew: i64) -> Vec<Event> {
     let mut entry = Timeline::new("entry-1");
     let mut owner = Timeline::new("entry-0");
     let mut agent = Timeline::new("agent-0");
@@ -52,11 +52,11 @@
 
 #[rstest]
 #[case::true_clock(0)]
-#[case::late_clock(5_000)]
-#[case::early_clock(-5_000)]
-fn a_cause_goes_before_its_effect_whatever_the_clocks_say(#[case] skew: i64) {
+#[case::fast_clock(5_000)]
+#[case::slow_clock(-5_000)]
+fn a_cause_stands_before_its_effect_despite_clock_skew(#[case] skew: i64) {
     use EventKind as K;
-    let events = order(one_task(skew));
+    let events = order(events_of_one_task(skew));
     let expected = [
         K::Submitted,
         K::Admitted,
@@ -108,14 +108,17 @@
 #[case::endpoint(EventFilter::builder().endpoint(Some("endpoint-0".into())).build(), 3)]
 #[case::since(EventFilter::builder().since(Some(at(10_004))).build(), 2)]
 #[case::until(EventFilter::builder().until(Some(at(10_001))).build(), 1)]
-fn events_are_chosen(#[case] filter: EventFilter, #[case] count: usize) {
-    let chosen = one_task(0).iter().filter(|e| filter.chooses(e)).count();
-    assert_eq!(chosen, count);
+fn a_filter_selects_events(#[case] filter: EventFilter, #[case] count: usize) {
+    let selected = events_of_one_task(0)
+        .iter()
+        .filter(|e| filter.chooses(e))
+        .count();
+    assert_eq!(selected, count);
 }
 
 #[rstest]
-fn an_event_is_one_line() {
-    let events = order(one_task(0));
+fn an_event_is_formatted_as_one_line() {
+    let events = order(events_of_one_task(0));
     let line = event_line(&events[4], "00:00");
     let expected = "00:00 agent-0            2      ended         letters/k1#0 at endpoint-0 \
                     (completed) <- agent-0 1";
@@ -124,7 +127,7 @@
 
 #[rstest]
 fn a_trace_file_has_tracks_bars_and_arrows() {
-    let file = trace_file(&order(one_task(0)));
+    let file = trace_file(&order(events_of_one_task(0)));
     let events = file["traceEvents"].as_array().expect("it has events");
     let count = |phase: &str| events.iter().filter(|e| e["ph"] == phase).count();
     assert_eq!(count("M"), 3, "a track for each process");
@@ -136,7 +139,7 @@
 }
 
 #[rstest]
-fn a_ring_keeps_the_newest_events() {
+fn a_full_timeline_keeps_the_newest_events() {
     let mut timeline = Timeline::new("a");
     for _ in 0..20_000 {
         timeline.process(at(1), EventKind::LinkUp, "b");
@@ -146,8 +149,8 @@
 }
 
 #[rstest]
-fn events_survive_json() {
-    for event in one_task(0) {
+fn an_event_read_back_from_json_is_unchanged() {
+    for event in events_of_one_task(0) {
         let text = serde_json::to_string(&event).expect("events are serialised");
         let read: Event = serde_json::from_str(&text).expect("events are read");
         assert_eq!(read, event);
