--- a/crates/observe/src/decision_log.rs
+++ b/crates/observe/src/decision_log.rs
@@ -1,5 +1,5 @@
-//! The log of decisions: JSON lines on standard output, bounded, never waited
-//! for.
+//! The decision log: JSON lines on standard output. The rate and the buffer are
+//! bounded, and a process never waits for its reader.
 
 use {
     crate::ProcessId,
@@ -14,42 +14,45 @@
     },
 };
 
-/// Most lines a second of what went well: about twice what an entry of the
-/// users' sites decides at the crest.
+/// Maximum lines a second for routine events: about twice what an entry of the
+/// users' sites writes at peak load.
 const MAX_COMMON_LINES: u32 = 600;
 
-/// Most lines a second of all kinds.
+/// Maximum lines a second for all events together.
 const MAX_LINES: u32 = 1_500;
 
-/// Most bytes that wait to be written.
+/// Buffer size, in bytes, from which on further lines are left out.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// Bytes that a pipe takes at once where it is ready to be written to.
+/// Largest single write, in bytes: a pipe that is ready for writing accepts this
+/// many without blocking.
 const PIPE_CHUNK_BYTES: usize = 4_096;
 
-/// One line of the log.
+/// One line of the decision log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LogLine {
-    /// Microseconds since 1970, by the clock of the worker.
+    /// Wall clock of the worker, in microseconds since the Unix epoch.
     pub at_us: u64,
     /// Name of the process.
     pub process: ProcessId,
-    /// Position among the lines of this run of the process, from 1; a gap
-    /// tells of lines that were left out.
+    /// Number of the line since the process started, from 1. A gap means that
+    /// lines were left out.
     pub sequence: u64,
-    /// The decision.
+    /// The logged event; its fields stand beside the ones above.
     #[serde(flatten)]
     pub note: DecisionEvent,
 }
 
-/// The log of one process.
+/// Writes the decision log of one process.
 pub struct DecisionLog {
     process: ProcessId,
     sequence: u64,
     buffered: VecDeque<u8>,
+    /// Start of the second that the limits count in.
     second_began: Option<Instant>,
     common_lines: u32,
     lines: u32,
+    /// Lines left out since the last line that reported it.
     left_out: u64,
 }
 
@@ -63,7 +66,7 @@
 }
 
 impl DecisionLog {
-    /// Starts the log of a process.
+    /// Creates the log of a process.
     pub fn new(process: impl Into<ProcessId>) -> Self {
         Self {
             process: process.into(),
@@ -76,23 +79,24 @@
         }
     }
 
-    /// Adds a line, unless that would be too many.
-    pub fn add(&mut self, now: Now, note: DecisionEvent) {
-        self.count_second(now);
+    /// Buffers a line, or leaves it out if a limit is reached.
+    pub fn add(&mut self, now: Now, event: DecisionEvent) {
+        self.advance_second(now);
         self.sequence += 1;
-        let is_common = !note.is_remarkable();
-        let is_over =
+        let is_common = !event.is_remarkable();
+        let is_over_limit =
             self.lines >= MAX_LINES || (is_common && self.common_lines >= MAX_COMMON_LINES);
-        if is_over || self.buffered.len() >= MAX_BUFFERED_BYTES {
+        if is_over_limit || self.buffered.len() >= MAX_BUFFERED_BYTES {
             self.left_out += 1;
             return;
         }
         self.lines += 1;
         self.common_lines += u32::from(is_common);
-        self.push(now, note);
+        self.push(now, event);
     }
 
-    /// Writes what standard output takes at once; the rest stays buffered.
+    /// Writes what standard output accepts without blocking; the rest stays
+    /// buffered.
     pub fn flush(&mut self) {
         let out = stdout();
         while !self.buffered.is_empty() && is_writable(&out) {
@@ -100,21 +104,24 @@
             let chunk = &chunk[..chunk.len().min(PIPE_CHUNK_BYTES)];
             let written = match out.lock().write(chunk) {
                 Ok(written) if written > 0 => written,
-                // Nobody reads any more; there is nowhere to tell of it.
+                // The reader closed the pipe: nothing can be written, nor the
+                // loss reported, so the buffer is dropped.
                 Ok(_) | Err(_) => self.buffered.len(),
             };
             self.buffered.drain(..written);
         }
-        // The standard library buffers up to the last line end.
+        // The standard library holds back the part after the last line end.
         let _ = out.lock().flush();
     }
 
-    /// Writes what is left and ends the log.
+    /// Writes what standard output still accepts and ends the log.
     pub fn close(mut self) {
         self.flush();
     }
 
-    fn count_second(&mut self, now: Now) {
+    /// Begins the next second of the limits once the present one is over, and
+    /// reports the lines that were left out.
+    fn advance_second(&mut self, now: Now) {
         let is_over = self
             .second_began
             .is_none_or(|began| began + Duration::from_secs(1) <= now.instant);
@@ -129,34 +136,34 @@
         }
     }
 
-    fn push(&mut self, now: Now, note: DecisionEvent) {
+    fn push(&mut self, now: Now, event: DecisionEvent) {
         let line = LogLine {
-            at_us: micros(now.wall),
+            at_us: unix_micros(now.wall),
             process: self.process.clone(),
             sequence: self.sequence,
-            note,
+            note: event,
         };
         match serde_json::to_vec(&line) {
             Ok(buf) => {
                 self.buffered.extend(buf);
                 self.buffered.push_back(b'\n');
             }
-            Err(error) => log::error!("line of the log has no encoding: {error}"),
+            Err(error) => log::error!("left out a decision event that cannot be encoded: {error}"),
         }
     }
 }
 
 fn is_writable(out: &std::io::Stdout) -> bool {
     let mut fds = [PollFd::new(out, PollFlags::OUT)];
-    let at_once = Timespec {
+    let no_wait = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    matches!(poll(&mut fds, Some(&at_once)), Ok(ready) if ready > 0)
+    matches!(poll(&mut fds, Some(&no_wait)), Ok(ready) if ready > 0)
 }
 
-fn micros(of: SystemTime) -> u64 {
-    let since_epoch = of
+fn unix_micros(time: SystemTime) -> u64 {
+    let since_epoch = time
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
     u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX)
--- a/crates/observe/src/dispatch_metrics.rs
+++ b/crates/observe/src/dispatch_metrics.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         MetricsError,
-        exporter::{Exporter, seconds},
+        exporter::{Exporter, seconds_histogram},
     },
     chestnutrun_types::{DecisionEvent, RouteId},
     indexmap::{IndexMap, IndexSet},
@@ -14,15 +14,17 @@
     std::fmt,
 };
 
-/// Most routes with a label of their own; the others count as one.
+/// Maximum number of routes with a label of their own; further ones are counted
+/// together under [`OTHER_ROUTES`].
 const MAX_ROUTES: usize = 32;
 
-/// Label of the routes beyond that.
+/// Label of the routes beyond [`MAX_ROUTES`].
 const OTHER_ROUTES: &str = "other";
 
-/// Metrics of one process, counted from its decisions.
+/// Metrics of one process, derived from its decision events.
 pub struct DispatchMetrics {
     exporter: Exporter,
+    /// Routes with a label of their own.
     routes: IndexSet<RouteId>,
     decisions: Counter<u64>,
     jobs: Counter<u64>,
@@ -34,6 +36,7 @@
     run_times: Histogram<f64>,
     waits_at_agent: Histogram<f64>,
     directory_calls: Counter<u64>,
+    /// Totals already added to `directory_calls`, by call and outcome.
     counted_calls: IndexMap<(&'static str, &'static str), u64>,
     state: Gauge<u64>,
 }
@@ -48,12 +51,12 @@
     /// Sets up the metrics of a process.
     ///
     /// # Errors
-    /// Returns an error where the exporter refuses its settings.
+    /// Returns an error if the exporter rejects its settings.
     pub fn new() -> Result<Self, MetricsError> {
         let exporter = Exporter::new()?;
         let meter = exporter.meter();
         let counter = |name, text| meter.u64_counter(name).with_description(text).build();
-        let times = |name, text| seconds(&meter, name, text);
+        let times = |name, text| seconds_histogram(&meter, name, text);
         Ok(Self {
             decisions: counter("chestnutrun_decisions", "Decisions by kind."),
             jobs: counter("chestnutrun_best_effort_jobs", "Jobs by route and outcome."),
@@ -75,9 +78,9 @@
         })
     }
 
-    /// Counts a decision.
-    pub fn count(&mut self, note: &DecisionEvent) {
-        match note {
+    /// Updates the counters and histograms of a decision event.
+    pub fn count(&mut self, event: &DecisionEvent) {
+        match event {
             DecisionEvent::JobAnswered {
                 route,
                 outcome,
@@ -85,7 +88,7 @@
                 placed_after_ms,
                 ..
             } => {
-                let route = KeyValue::new("route", self.route(route));
+                let route = KeyValue::new("route", self.route_label(route));
                 let outcome = KeyValue::new("outcome", outcome.to_string());
                 self.jobs.add(1, &[route.clone(), outcome]);
                 self.response_times
@@ -117,7 +120,8 @@
         }
     }
 
-    /// Takes how many calls of the directory ended in one way by now.
+    /// Raises the counter of directory calls that ended in `outcome` to `count`,
+    /// the total since the process started.
     pub fn directory_calls(&mut self, call: &'static str, outcome: &'static str, count: u64) {
         let counted = self.counted_calls.entry((call, outcome)).or_default();
         let labels = [
@@ -129,7 +133,7 @@
         *counted = count;
     }
 
-    /// Sets a present value.
+    /// Sets a value of the `chestnutrun_state` gauge.
     pub fn set(&self, name: &'static str, value: u64) {
         self.state.record(value, &[KeyValue::new("name", name)]);
     }
@@ -137,18 +141,19 @@
     /// Returns all metrics in Prometheus format.
     ///
     /// # Errors
-    /// Returns an error where the text cannot be made.
+    /// Returns an error if the metrics cannot be encoded.
     pub fn show(&self) -> Result<String, MetricsError> {
         self.exporter.show()
     }
 
-    /// Stops to keep metrics.
+    /// Shuts the metrics down.
     pub fn close(self) {
         self.exporter.close();
     }
 
-    /// Returns the label of a route, within the bound on labels.
-    fn route(&mut self, route: &RouteId) -> String {
+    /// Returns the label of a route: its name, or [`OTHER_ROUTES`] if
+    /// [`MAX_ROUTES`] others have theirs.
+    fn route_label(&mut self, route: &RouteId) -> String {
         if !self.routes.contains(route) {
             if self.routes.len() >= MAX_ROUTES {
                 return OTHER_ROUTES.to_owned();
--- a/crates/observe/src/exporter.rs
+++ b/crates/observe/src/exporter.rs
@@ -1,4 +1,4 @@
-//! Where metrics are registered, and how they are shown.
+//! Registers metrics and encodes them in Prometheus format.
 
 use {
     crate::MetricsError,
@@ -12,14 +12,15 @@
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0,
 ];
 
-/// Where the metrics of one process are registered.
+/// Holds the registry of one process's metrics.
 pub(crate) struct Exporter {
     registry: Registry,
     provider: SdkMeterProvider,
 }
 
 impl Exporter {
-    /// Sets the exporter up; metrics are gathered when they are shown.
+    /// Sets the exporter up. It collects the metrics only when
+    /// [`show`](Self::show) is called.
     pub(crate) fn new() -> Result<Self, MetricsError> {
         let registry = Registry::new();
         registry
@@ -36,7 +37,7 @@
         Ok(Self { registry, provider })
     }
 
-    /// Returns what registers metrics.
+    /// Returns the meter with which metrics are registered.
     pub(crate) fn meter(&self) -> Meter {
         self.provider.meter("chestnutrun")
     }
@@ -48,16 +49,16 @@
         Ok(String::from_utf8_lossy(&buf).into_owned())
     }
 
-    /// Stops to keep metrics.
+    /// Shuts the metrics down.
     pub(crate) fn close(self) {
         if let Err(error) = self.provider.shutdown() {
-            log::debug!("metrics did not stop cleanly: {error}");
+            log::debug!("cannot shut the metrics down cleanly: {error}");
         }
     }
 }
 
-/// Registers a histogram of times.
-pub(crate) fn seconds(
+/// Registers a histogram of times in seconds.
+pub(crate) fn seconds_histogram(
     meter: &Meter,
     name: &'static str,
     description: &'static str,
@@ -70,7 +71,8 @@
         .build()
 }
 
-/// Returns a count as metrics hold it.
+/// Converts a count to the type of metric values; a larger one becomes the
+/// maximum.
 #[must_use]
 pub fn as_u64(count: usize) -> u64 {
     u64::try_from(count).unwrap_or(u64::MAX)
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -1,4 +1,4 @@
-//! What operators see: logs, metrics and the time line.
+//! Observability for operators: logs, metrics and the timeline.
 
 mod decision_log;
 mod dispatch_metrics;
--- a/crates/observe/src/logs.rs
+++ b/crates/observe/src/logs.rs
@@ -1,4 +1,4 @@
-//! Starts the log.
+//! Sets up the log on standard error.
 
 use {
     log::LevelFilter,
@@ -6,9 +6,9 @@
     std::io::stderr,
 };
 
-/// Starts the log on standard error, one line an event.
+/// Sets up the log on standard error, one line for each message.
 ///
-/// A log that was started before goes on as it is.
+/// A second call changes nothing.
 pub fn start_logs(level: LevelFilter) {
     let conf = ConfigBuilder::new()
         .set_time_format_rfc3339()
@@ -17,6 +17,6 @@
         .set_location_level(LevelFilter::Off)
         .add_filter_allow_str("chestnutrun")
         .build();
-    // Only a second start fails.
+    // Fails only if a logger is already set.
     let _ = WriteLogger::init(level, conf, stderr());
 }
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -1,9 +1,10 @@
-//! Counters and gauges, shown in Prometheus format when they are asked for.
+//! Counters, gauges and histograms of one process, encoded in Prometheus format
+//! on request.
 
 use {
     crate::{
         Stopwatch,
-        exporter::{Exporter, as_u64, seconds},
+        exporter::{Exporter, as_u64, seconds_histogram},
     },
     chestnutrun_types::{ContractId, Epoch, ShardId},
     opentelemetry::{
@@ -14,14 +15,14 @@
     thiserror::Error,
 };
 
-/// Why metrics cannot be kept or shown.
+/// Errors of setting up and encoding metrics.
 #[derive(Debug, Error)]
 pub enum MetricsError {
     /// The exporter could not be set up.
-    #[error("metrics cannot be set up: {0}")]
+    #[error("cannot set up the metrics exporter: {0}")]
     SetUp(String),
-    /// The text could not be made.
-    #[error("metrics cannot be shown: {0}")]
+    /// The metrics could not be encoded.
+    #[error("cannot encode the metrics: {0}")]
     Show(#[from] prometheus::Error),
 }
 
@@ -53,7 +54,7 @@
     /// Sets up the metrics of a process.
     ///
     /// # Errors
-    /// Returns an error where the exporter refuses its settings.
+    /// Returns an error if the exporter rejects its settings.
     pub fn new() -> Result<Self, MetricsError> {
         let exporter = Exporter::new()?;
         let meter = exporter.meter();
@@ -83,8 +84,12 @@
                 .u64_counter("chestnutrun_table_requests")
                 .with_description("Requests to the platform's table.")
                 .build(),
-            run_times: seconds(&meter, "chestnutrun_run_time", "Run times at the endpoint."),
-            response_times: seconds(
+            run_times: seconds_histogram(
+                &meter,
+                "chestnutrun_run_time",
+                "Run times at the endpoint.",
+            ),
+            response_times: seconds_histogram(
                 &meter,
                 "chestnutrun_response_time",
                 "Times to the replies to callers.",
@@ -112,39 +117,39 @@
         })
     }
 
-    /// Counts a message that was sent to a peer, by its kind.
+    /// Counts a message sent to a peer.
     pub fn sent(&self, peer: &'static str, kind: &'static str) {
-        self.message("sent", peer, kind);
+        self.count_message("sent", peer, kind);
     }
 
-    /// Counts a message that a peer sent, by its kind.
+    /// Counts a message received from a peer.
     pub fn received(&self, peer: &'static str, kind: &'static str) {
-        self.message("received", peer, kind);
+        self.count_message("received", peer, kind);
     }
 
-    /// Counts messages that moved no task on, by the reason.
+    /// Counts messages that advanced no task.
     pub fn wasted(&self, messages: u64, reason: &'static str) {
         let labels = [KeyValue::new("reason", reason)];
         self.wasted_messages.add(messages, &labels);
     }
 
-    /// Counts a task by what became of it.
+    /// Counts a task that ended at the endpoint.
     pub fn task(&self, outcome: &'static str) {
         self.tasks.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a start that was refused, by the reason.
+    /// Counts a start that the agent refused.
     pub fn start_refused(&self, reason: &'static str) {
         let labels = [KeyValue::new("reason", reason)];
         self.start_refusals.add(1, &labels);
     }
 
-    /// Counts a reply to a caller by its kind.
+    /// Counts a reply to a caller.
     pub fn reply(&self, kind: &'static str) {
         self.replies.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Counts a request to the platform's table by what became of it.
+    /// Counts a request to the platform's table.
     pub fn table_request(&self, operation: &'static str, outcome: &'static str) {
         let labels = [
             KeyValue::new("operation", operation),
@@ -153,19 +158,19 @@
         self.table_requests.add(1, &labels);
     }
 
-    /// Starts to time a run at the endpoint.
+    /// Starts the stopwatch of a run at the endpoint.
     #[must_use]
     pub fn time_run(&self) -> Stopwatch {
         Stopwatch::start(self.run_times.clone())
     }
 
-    /// Starts to time the answer to a caller.
+    /// Starts the stopwatch of a response to a caller.
     #[must_use]
     pub fn time_response(&self) -> Stopwatch {
         Stopwatch::start(self.response_times.clone())
     }
 
-    /// Sets how many tasks of a contract wait or run.
+    /// Sets how many tasks of a contract are in a state.
     pub fn set_contract_tasks(&self, contract: &ContractId, state: &'static str, count: usize) {
         let labels = [
             KeyValue::new("contract", contract.clone()),
@@ -174,7 +179,7 @@
         self.contract_tasks.record(as_u64(count), &labels);
     }
 
-    /// Sets the ownership that this process holds of a shard; 0 for none.
+    /// Sets the epoch under which this process owns a shard; 0 if it does not.
     pub fn set_ownership(&self, shard: ShardId, epoch: Epoch) {
         let labels = [KeyValue::new("shard", i64::from(shard))];
         self.ownership_epochs.record(epoch, &labels);
@@ -186,7 +191,7 @@
         self.slots.record(u64::from(count), &labels);
     }
 
-    /// Sets how many links to peers are open.
+    /// Sets how many links to a kind of peer are open.
     pub fn set_links(&self, peer: &'static str, count: usize) {
         let labels = [KeyValue::new("peer", peer)];
         self.links.record(as_u64(count), &labels);
@@ -198,7 +203,7 @@
         self.jobs.record(as_u64(count), &labels);
     }
 
-    fn message(&self, direction: &'static str, peer: &'static str, kind: &'static str) {
+    fn count_message(&self, direction: &'static str, peer: &'static str, kind: &'static str) {
         let labels = [
             KeyValue::new("direction", direction),
             KeyValue::new("peer", peer),
@@ -210,12 +215,12 @@
     /// Returns all metrics in Prometheus format.
     ///
     /// # Errors
-    /// Returns an error where the text cannot be made.
+    /// Returns an error if the metrics cannot be encoded.
     pub fn show(&self) -> Result<String, MetricsError> {
         self.exporter.show()
     }
 
-    /// Stops to keep metrics.
+    /// Shuts the metrics down.
     pub fn close(self) {
         self.exporter.close();
     }
--- a/crates/observe/src/stopwatch.rs
+++ b/crates/observe/src/stopwatch.rs
@@ -1,11 +1,12 @@
-//! Times one thing for a histogram.
+//! Measures durations for a histogram.
 
 use {
     opentelemetry::{KeyValue, metrics::Histogram},
     std::{fmt, time::Instant},
 };
 
-/// Times one thing for a histogram; one that is dropped counts nothing.
+/// Measures one duration for a histogram. A stopwatch that is dropped records
+/// nothing.
 pub struct Stopwatch {
     histogram: Histogram<f64>,
     begin: Instant,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Counts the time until now under an outcome.
+    /// Records the time since the start, labelled with the outcome.
     pub fn close(self, outcome: &'static str) {
         let labels = [KeyValue::new("outcome", outcome)];
         let seconds = self.begin.elapsed().as_secs_f64();
--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/story.rs
@@ -1,4 +1,4 @@
-//! The story of one job, put together from the logs of all processes.
+//! The history of one job, merged from the decision logs of all processes.
 
 use {
     crate::LogLine,
@@ -7,30 +7,33 @@
     std::time::Duration,
 };
 
-/// What became of one job, for lists.
+/// Result of one job, for lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobSummary {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// When it was answered, in microseconds since 1970.
+    /// When the job ended for its caller, in microseconds since the Unix epoch.
     pub at_us: u64,
-    /// What its caller was told.
+    /// Outcome that the caller received, or `caller-gone` if the caller
+    /// disconnected first.
     pub outcome: String,
-    /// Time to the answer.
+    /// Time from the submission until then.
     pub took: Duration,
 }
 
-/// The story of one job.
+/// The log lines about one job, from all processes.
 #[derive(Clone, Debug)]
 pub struct Story {
+    /// Oldest first.
     lines: Vec<LogLine>,
-    /// Agents that got tasks and of which there is no line.
+    /// Agents that were assigned tasks but have no line about the job.
     missing: Vec<AgentId>,
-    /// Processes of which lines are missing, and how many.
+    /// Lines that processes of this history left out, by process.
     left_out: IndexMap<String, u64>,
 }
 
-/// Returns what became of each job that was answered, in the order of time.
+/// Returns the result of each job that was answered or lost its caller, oldest
+/// first.
 #[must_use]
 pub fn summaries(lines: &[LogLine]) -> Vec<JobSummary> {
     let mut summaries: Vec<JobSummary> = lines
@@ -61,7 +64,7 @@
 }
 
 impl Story {
-    /// Puts the story of a job together; none where no line is about it.
+    /// Collects the lines about a job; returns none if there are no such lines.
     #[must_use]
     pub fn of(job: &str, lines: &[LogLine]) -> Option<Self> {
         let mut of_job: Vec<LogLine> = lines
@@ -73,41 +76,44 @@
             return None;
         }
         of_job.sort_by_key(|line| line.at_us);
-        let heard: IndexSet<&str> = of_job.iter().map(|line| &*line.process).collect();
+        let processes: IndexSet<&str> = of_job.iter().map(|line| &*line.process).collect();
         let placed = of_job.iter().filter_map(|line| match &line.note {
             DecisionEvent::TasksPlaced { agent, .. } => Some(agent),
             _ => None,
         });
         let missing: IndexSet<AgentId> = placed
-            .filter(|agent| !heard.contains(&***agent))
+            .filter(|agent| !processes.contains(&***agent))
             .cloned()
             .collect();
         Some(Self {
             missing: missing.into_iter().collect(),
-            left_out: left_out(lines, &heard),
+            left_out: count_left_out(lines, &processes),
             lines: of_job,
         })
     }
 
-    /// Returns the lines, the oldest first.
+    /// Returns the lines, oldest first.
     #[must_use]
     pub fn lines(&self) -> &[LogLine] {
         &self.lines
     }
 
-    /// Returns agents that got tasks and of which there is no line.
+    /// Returns the agents that were assigned tasks but have no line about the job;
+    /// their logs may be incomplete.
     #[must_use]
     pub fn missing(&self) -> &[AgentId] {
         &self.missing
     }
 
-    /// Returns processes of the story that left lines out, and how many.
+    /// Returns how many lines each process of this history left out, about any
+    /// job.
     #[must_use]
     pub fn left_out(&self) -> &IndexMap<String, u64> {
         &self.left_out
     }
 
-    /// Returns the longest time without a line, and the lines around it.
+    /// Returns the longest time without a line, with the lines before and after
+    /// it.
     #[must_use]
     pub fn longest_gap(&self) -> Option<(Duration, &LogLine, &LogLine)> {
         let pairs = self.lines.iter().zip(self.lines.iter().skip(1));
@@ -117,7 +123,8 @@
         Some((length, longest.0, longest.1))
     }
 
-    /// Says in one sentence why the job ended as it did and when it did.
+    /// Describes in one sentence why the job ended with its outcome, or what took
+    /// most of its time.
     #[must_use]
     pub fn cause(&self) -> String {
         let answered = self.lines.iter().rev().find_map(|line| match &line.note {
@@ -130,40 +137,43 @@
         });
         match answered {
             Some(("refused-overload", _)) => {
-                format!("no endpoint had room in time; {}", self.load())
+                format!(
+                    "no endpoint had free capacity in time; {}",
+                    self.describe_load()
+                )
             }
-            Some(("refused-no-endpoint", _)) => "no endpoint was linked to the entry".to_owned(),
+            Some(("refused-no-endpoint", _)) => "no endpoint was connected to the entry".to_owned(),
             Some(("refused-never-fits", _)) => {
-                "no endpoint is large enough or has the label that a task requires".to_owned()
+                "no endpoint is large enough and has the label that a task requires".to_owned()
             }
-            Some(("failed", _)) => format!("a task failed too often: {}", self.returns()),
-            Some((_, Some(wait))) if self.has_trouble() => {
-                format!("first placed after {wait} ms; {}", self.returns())
+            Some(("failed", _)) => format!("a task failed too often: {}", self.describe_failures()),
+            Some((_, Some(wait))) if self.has_failures() => {
+                format!("first placed after {wait} ms; {}", self.describe_failures())
             }
-            Some((_, wait)) => self.slowest_part(wait.unwrap_or_default()),
-            None => self.unanswered(),
+            Some((_, wait)) => self.describe_slowest_part(wait.unwrap_or_default()),
+            None => self.describe_missing_answer(),
         }
     }
 
-    /// Says what happened to a job whose entry told no answer.
-    fn unanswered(&self) -> String {
-        let is_lost = self.lines.iter().any(|line| {
+    /// Describes why a job has no answer in the log.
+    fn describe_missing_answer(&self) -> String {
+        let is_entry_lost = self.lines.iter().any(|line| {
             matches!(&line.note, DecisionEvent::TaskStopped { reason, .. } if reason == "entry-lost")
         });
-        let is_gone = self
+        let is_caller_disconnected = self
             .lines
             .iter()
             .any(|line| matches!(line.note, DecisionEvent::CallerDisconnected { .. }));
-        if is_gone {
-            format!("the caller went away; {}", self.returns())
-        } else if is_lost {
-            "its entry was lost: agents heard no more of it and stopped its tasks".to_owned()
+        if is_caller_disconnected {
+            format!("the caller disconnected; {}", self.describe_failures())
+        } else if is_entry_lost {
+            "contact with its entry was lost, and the agents stopped its tasks".to_owned()
         } else {
-            "its entry wrote no answer: it ended, or its log is missing".to_owned()
+            "its entry logged no answer: the entry ended, or its log is missing".to_owned()
         }
     }
 
-    fn has_trouble(&self) -> bool {
+    fn has_failures(&self) -> bool {
         self.lines.iter().any(|line| match &line.note {
             DecisionEvent::TaskReturned { .. } | DecisionEvent::StartRefused { .. } => true,
             DecisionEvent::TaskEnded { how, .. } => *how != EndKind::Done,
@@ -171,8 +181,9 @@
         })
     }
 
-    /// Counts why tasks came back, by agent.
-    fn returns(&self) -> String {
+    /// Lists returned tasks, refused starts and stopped runs, counted by reason and
+    /// agent.
+    fn describe_failures(&self) -> String {
         let mut counts: IndexMap<String, u32> = IndexMap::new();
         for line in &self.lines {
             let what = match &line.note {
@@ -190,7 +201,7 @@
             *counts.entry(what).or_default() += 1;
         }
         if counts.is_empty() {
-            return "no task came back".to_owned();
+            return "no task was returned, refused or stopped".to_owned();
         }
         let parts = counts
             .iter()
@@ -198,21 +209,23 @@
         parts.collect::<Vec<_>>().join(", ")
     }
 
-    fn load(&self) -> String {
-        let held = self.lines.iter().find_map(|line| match line.note {
+    /// Describes how busy the entry was when the job was submitted.
+    fn describe_load(&self) -> String {
+        let submitted = self.lines.iter().find_map(|line| match line.note {
             DecisionEvent::JobTaken { held, slack_ms, .. } => Some((held, slack_ms)),
             _ => None,
         });
-        match held {
+        match submitted {
             Some((held, slack)) => {
-                format!("its entry held {held} jobs, and it could wait {slack} ms")
+                format!("its entry held {held} jobs, and this one could wait {slack} ms")
             }
-            None => "the line of its arrival is missing".to_owned(),
+            None => "the log line of its submission is missing".to_owned(),
         }
     }
 
-    /// Names where a job that met no trouble spent its time.
-    fn slowest_part(&self, wait_ms: u64) -> String {
+    /// Describes what took most time in a job without returned, refused or stopped
+    /// runs.
+    fn describe_slowest_part(&self, wait_ms: u64) -> String {
         let runs = self.lines.iter().filter_map(|line| match line.note {
             DecisionEvent::TaskEnded { ran_ms, .. } => Some((ran_ms, &line.process)),
             _ => None,
@@ -220,20 +233,23 @@
         match runs.max_by_key(|(ran, _)| *ran) {
             Some((ran, process)) if ran >= wait_ms => {
                 format!(
-                    "its longest run took {ran} ms beside {process}; it was placed after {wait_ms} ms"
+                    "its longest run took {ran} ms at {process}; the job was placed after {wait_ms} ms"
                 )
             }
-            _ => format!("it waited {wait_ms} ms for room; {}", self.load()),
+            _ => format!(
+                "it waited {wait_ms} ms for free capacity; {}",
+                self.describe_load()
+            ),
         }
     }
 }
 
-/// Counts the lines that processes of a story left out.
-fn left_out(lines: &[LogLine], heard: &IndexSet<&str>) -> IndexMap<String, u64> {
+/// Counts the lines that each of `processes` left out.
+fn count_left_out(lines: &[LogLine], processes: &IndexSet<&str>) -> IndexMap<String, u64> {
     let mut counts: IndexMap<String, u64> = IndexMap::new();
     for line in lines {
         if let DecisionEvent::LinesLeftOut { count } = line.note
-            && heard.contains(&*line.process)
+            && processes.contains(&*line.process)
         {
             *counts.entry(line.process.to_string()).or_default() += count;
         }
--- a/crates/observe/tests/logs_page.rs
+++ b/crates/observe/tests/logs_page.rs
@@ -1,4 +1,4 @@
-//! The page about the log, held against what is written.
+//! Compares the page about the decision log with the lines that are written.
 
 use {
     chestnutrun_observe::LogLine,
@@ -10,13 +10,13 @@
 
 const TASK: TaskPosition = TaskPosition { step: 0, index: 0 };
 
-/// One of each decision.
+/// Returns one event of each kind.
 fn one_of_each() -> Vec<DecisionEvent> {
     let mut all = of_entries();
     all.extend(of_agents());
     all.extend(of_both());
     let names: IndexSet<&str> = all.iter().map(DecisionEvent::name).collect();
-    assert_eq!(names.len(), all.len(), "one of each");
+    assert_eq!(names.len(), all.len(), "a kind of event stands twice");
     all
 }
 
@@ -158,21 +158,21 @@
     ]
 }
 
-/// Returns the fields of each event, as the page has them.
-fn documented() -> IndexMap<String, IndexSet<String>> {
+/// Returns the fields of each event as the page documents them.
+fn documented_fields() -> IndexMap<String, IndexSet<String>> {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/LOGS.md");
     let page = fs::read_to_string(page).expect("the page is there");
     let rows = page.lines().filter(|line| line.starts_with("| `"));
     let rows = rows.map(|row| {
         let cells: Vec<&str> = row.trim_matches('|').split('|').collect();
         let event = cells[0].trim().trim_matches('`').to_owned();
-        (event, names(cells[2]))
+        (event, quoted_names(cells[2]))
     });
     rows.collect()
 }
 
-/// Returns what stands in backticks outside of parentheses.
-fn names(cell: &str) -> IndexSet<String> {
+/// Returns the texts in backticks that stand outside of parentheses.
+fn quoted_names(cell: &str) -> IndexSet<String> {
     let mut outside = String::new();
     let mut depth = 0;
     for letter in cell.chars() {
@@ -187,12 +187,13 @@
     quoted.map(str::to_owned).collect()
 }
 
-fn fields(note: DecisionEvent) -> IndexSet<String> {
+/// Returns the fields that a line has for one event only.
+fn written_fields(event: DecisionEvent) -> IndexSet<String> {
     let line = LogLine {
         at_us: 1,
         process: "p".into(),
         sequence: 1,
-        note,
+        note: event,
     };
     let value = serde_json::to_value(line).expect("a line has an encoding");
     let object = value.as_object().expect("a line is an object");
@@ -203,22 +204,22 @@
 
 #[rstest]
 fn the_page_has_every_event_with_its_fields() {
-    let page = documented();
+    let page = documented_fields();
     let all = one_of_each();
     assert_eq!(page.len(), all.len(), "{:?}", page.keys());
-    for note in all {
-        let event = note.name();
-        let written = fields(note);
-        let mut documented = page.get(event).cloned().unwrap_or_default();
+    for event in all {
+        let name = event.name();
+        let written = written_fields(event);
+        let mut documented = page.get(name).cloned().unwrap_or_default();
         documented.sort();
         let mut written: IndexSet<String> = written;
         written.sort();
-        assert_eq!(documented, written, "{event}");
+        assert_eq!(documented, written, "{name}");
     }
 }
 
 #[rstest]
-fn the_page_names_every_way_in_which_a_run_ends() {
+fn the_page_names_every_way_a_run_can_end() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/LOGS.md");
     let page = fs::read_to_string(page).expect("the page is there");
     let ends = [
