--- a/crates/cli/src/operators/explain.rs
+++ b/crates/cli/src/operators/explain.rs
@@ -68,9 +68,9 @@
         show_line(format_args!(
             "Longest time without a log line: {} ms, from {} at {} to {} at {}.",
             length.as_millis(),
-            from.note.name(),
+            from.event.name(),
             from.process,
-            to.note.name(),
+            to.event.name(),
             to.process,
         ));
     }
@@ -91,8 +91,8 @@
 /// Formats the decision of a log line with its fields, without the job, which is
 /// the same in all lines.
 fn describe(line: &LogLine) -> String {
-    let Ok(serde_json::Value::Object(fields)) = serde_json::to_value(&line.note) else {
-        return line.note.name().to_owned();
+    let Ok(serde_json::Value::Object(fields)) = serde_json::to_value(&line.event) else {
+        return line.event.name().to_owned();
     };
     let details = fields
         .iter()
@@ -100,7 +100,7 @@
     let details: Vec<String> = details
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
-    format!("{} {}", line.note.name(), details.join(" "))
+    format!("{} {}", line.event.name(), details.join(" "))
 }
 
 fn read_lines(options: &ExplainOptions) -> Result<Vec<LogLine>, CliError> {
--- a/crates/observe/src/decision_log.rs
+++ b/crates/observe/src/decision_log.rs
@@ -40,7 +40,7 @@
     pub sequence: u64,
     /// The logged event; its fields stand beside the ones above.
     #[serde(flatten)]
-    pub note: DecisionEvent,
+    pub event: DecisionEvent,
 }
 
 /// Writes the decision log of one process.
@@ -141,7 +141,7 @@
             at_us: unix_micros(now.wall),
             process: self.process.clone(),
             sequence: self.sequence,
-            note: event,
+            event,
         };
         match serde_json::to_vec(&line) {
             Ok(buf) => {
--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/story.rs
@@ -38,7 +38,7 @@
 pub fn summaries(lines: &[LogLine]) -> Vec<JobSummary> {
     let mut summaries: Vec<JobSummary> = lines
         .iter()
-        .filter_map(|line| match &line.note {
+        .filter_map(|line| match &line.event {
             DecisionEvent::JobAnswered {
                 job,
                 outcome,
@@ -69,7 +69,7 @@
     pub fn of(job: &str, lines: &[LogLine]) -> Option<Self> {
         let mut of_job: Vec<LogLine> = lines
             .iter()
-            .filter(|line| line.note.job().is_some_and(|id| **id == *job))
+            .filter(|line| line.event.job().is_some_and(|id| **id == *job))
             .cloned()
             .collect();
         if of_job.is_empty() {
@@ -77,7 +77,7 @@
         }
         of_job.sort_by_key(|line| line.at_us);
         let processes: IndexSet<&str> = of_job.iter().map(|line| &*line.process).collect();
-        let placed = of_job.iter().filter_map(|line| match &line.note {
+        let placed = of_job.iter().filter_map(|line| match &line.event {
             DecisionEvent::TasksPlaced { agent, .. } => Some(agent),
             _ => None,
         });
@@ -127,7 +127,7 @@
     /// most of its time.
     #[must_use]
     pub fn cause(&self) -> String {
-        let answered = self.lines.iter().rev().find_map(|line| match &line.note {
+        let answered = self.lines.iter().rev().find_map(|line| match &line.event {
             DecisionEvent::JobAnswered {
                 outcome,
                 placed_after_ms,
@@ -158,12 +158,12 @@
     /// Describes why a job has no answer in the log.
     fn describe_missing_answer(&self) -> String {
         let is_entry_lost = self.lines.iter().any(|line| {
-            matches!(&line.note, DecisionEvent::TaskStopped { reason, .. } if reason == "entry-lost")
+            matches!(&line.event, DecisionEvent::TaskStopped { reason, .. } if reason == "entry-lost")
         });
         let is_caller_disconnected = self
             .lines
             .iter()
-            .any(|line| matches!(line.note, DecisionEvent::CallerDisconnected { .. }));
+            .any(|line| matches!(line.event, DecisionEvent::CallerDisconnected { .. }));
         if is_caller_disconnected {
             format!("the caller disconnected; {}", self.describe_failures())
         } else if is_entry_lost {
@@ -174,7 +174,7 @@
     }
 
     fn has_failures(&self) -> bool {
-        self.lines.iter().any(|line| match &line.note {
+        self.lines.iter().any(|line| match &line.event {
             DecisionEvent::TaskReturned { .. } | DecisionEvent::StartRefused { .. } => true,
             DecisionEvent::TaskEnded { how, .. } => *how != EndKind::Done,
             _ => false,
@@ -186,7 +186,7 @@
     fn describe_failures(&self) -> String {
         let mut counts: IndexMap<String, u32> = IndexMap::new();
         for line in &self.lines {
-            let what = match &line.note {
+            let what = match &line.event {
                 DecisionEvent::TaskReturned { agent, how, .. } => {
                     format!("{} at {agent}", how.name().replace('-', " "))
                 }
@@ -211,7 +211,7 @@
 
     /// Describes how busy the entry was when the job was submitted.
     fn describe_load(&self) -> String {
-        let submitted = self.lines.iter().find_map(|line| match line.note {
+        let submitted = self.lines.iter().find_map(|line| match line.event {
             DecisionEvent::JobTaken { held, slack_ms, .. } => Some((held, slack_ms)),
             _ => None,
         });
@@ -226,7 +226,7 @@
     /// Describes what took most time in a job without returned, refused or stopped
     /// runs.
     fn describe_slowest_part(&self, wait_ms: u64) -> String {
-        let runs = self.lines.iter().filter_map(|line| match line.note {
+        let runs = self.lines.iter().filter_map(|line| match line.event {
             DecisionEvent::TaskEnded { ran_ms, .. } => Some((ran_ms, &line.process)),
             _ => None,
         });
@@ -248,7 +248,7 @@
 fn count_left_out(lines: &[LogLine], processes: &IndexSet<&str>) -> IndexMap<String, u64> {
     let mut counts: IndexMap<String, u64> = IndexMap::new();
     for line in lines {
-        if let DecisionEvent::LinesLeftOut { count } = line.note
+        if let DecisionEvent::LinesLeftOut { count } = line.event
             && processes.contains(&*line.process)
         {
             *counts.entry(line.process.to_string()).or_default() += count;
--- a/crates/observe/tests/logs_page.rs
+++ b/crates/observe/tests/logs_page.rs
@@ -193,7 +193,7 @@
         at_us: 1,
         process: "p".into(),
         sequence: 1,
-        note: event,
+        event,
     };
     let value = serde_json::to_value(line).expect("a line has an encoding");
     let object = value.as_object().expect("a line is an object");
