--- a/crates/cli/src/operators/explain.rs
+++ b/crates/cli/src/operators/explain.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{CliError, Outcome, arguments::ExplainOptions, output::show_line},
-    chestnutrun_observe::{JobSummary, LogLine, Story, summaries},
+    chestnutrun_observe::{JobHistory, JobSummary, LogLine, summaries},
     std::{
         fs,
         io::{Read, stdin},
@@ -52,7 +52,7 @@
 }
 
 fn explain_job(job: &str, lines: &[LogLine]) -> Result<Outcome, CliError> {
-    let history = Story::of(job, lines);
+    let history = JobHistory::of(job, lines);
     let history =
         history.ok_or_else(|| CliError::Invalid(format!("no log line is about job {job}")))?;
     let begin = history.lines().first().map_or(0, |line| line.at_us);
--- a/crates/observe/src/story.rs
+++ b/crates/observe/src/job_history.rs
@@ -23,7 +23,7 @@
 
 /// The log lines about one job, from all processes.
 #[derive(Clone, Debug)]
-pub struct Story {
+pub struct JobHistory {
     /// Oldest first.
     lines: Vec<LogLine>,
     /// Agents that were assigned tasks but have no line about the job.
@@ -63,7 +63,7 @@
     summaries
 }
 
-impl Story {
+impl JobHistory {
     /// Collects the lines about a job; returns none if there are no such lines.
     #[must_use]
     pub fn of(job: &str, lines: &[LogLine]) -> Option<Self> {
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -5,10 +5,10 @@
 mod event;
 mod exporter;
 pub mod gathered;
+mod job_history;
 mod logs;
 mod metrics;
 mod stopwatch;
-mod story;
 mod timeline;
 
 pub use {
@@ -16,9 +16,9 @@
     dispatch_metrics::DispatchMetrics,
     event::{Event, EventKind, ProcessId, Sequence},
     exporter::as_u64,
+    job_history::{JobHistory, JobSummary, summaries},
     logs::start_logs,
     metrics::{Metrics, MetricsError},
     stopwatch::Stopwatch,
-    story::{JobSummary, Story, summaries},
     timeline::Timeline,
 };
