--- a/crates/cli/src/operators/explain.rs
+++ b/crates/cli/src/operators/explain.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{CliError, Outcome, arguments::ExplainOptions, output::show_line},
-    chestnutrun_observe::{JobHistory, JobSummary, LogLine, summaries},
+    chestnutrun_observe::{JobHistory, JobSummary, LogLine, summarize_jobs},
     std::{
         fs,
         io::{Read, stdin},
@@ -24,7 +24,7 @@
             "give the ID of a job, --slow or --refused",
         ));
     }
-    for summary in select_summaries(options, summaries(&lines)) {
+    for summary in select_summaries(options, summarize_jobs(&lines)) {
         let at = SystemTime::UNIX_EPOCH + Duration::from_micros(summary.at_us);
         let at = humantime::format_rfc3339_millis(at);
         let took = summary.took.as_millis();
--- a/crates/observe/src/job_history.rs
+++ b/crates/observe/src/job_history.rs
@@ -35,7 +35,7 @@
 /// Returns the result of each job that was answered or lost its caller, oldest
 /// first.
 #[must_use]
-pub fn summaries(lines: &[LogLine]) -> Vec<JobSummary> {
+pub fn summarize_jobs(lines: &[LogLine]) -> Vec<JobSummary> {
     let mut summaries: Vec<JobSummary> = lines
         .iter()
         .filter_map(|line| match &line.event {
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -16,7 +16,7 @@
     dispatch_metrics::DispatchMetrics,
     event::{Event, EventKind, ProcessId, Sequence},
     exporter::as_u64,
-    job_history::{JobHistory, JobSummary, summaries},
+    job_history::{JobHistory, JobSummary, summarize_jobs},
     logs::start_logs,
     metrics::{Metrics, MetricsError},
     stopwatch::Stopwatch,
