--- a/crates/cli/src/operators/explain.rs
+++ b/crates/cli/src/operators/explain.rs
@@ -74,7 +74,7 @@
             to.process,
         ));
     }
-    for agent in history.missing() {
+    for agent in history.agents_without_lines() {
         show_line(format_args!(
             "Missing: {agent} got tasks, but there is no log line from it."
         ));
--- a/crates/observe/src/job_history.rs
+++ b/crates/observe/src/job_history.rs
@@ -27,7 +27,7 @@
     /// Oldest first.
     lines: Vec<LogLine>,
     /// Agents that were assigned tasks but have no line about the job.
-    missing: Vec<AgentId>,
+    agents_without_lines: Vec<AgentId>,
     /// Lines that processes of this history left out, by process.
     left_out: IndexMap<String, u64>,
 }
@@ -81,12 +81,12 @@
             DecisionEvent::TasksPlaced { agent, .. } => Some(agent),
             _ => None,
         });
-        let missing: IndexSet<AgentId> = placed
+        let agents_without_lines: IndexSet<AgentId> = placed
             .filter(|agent| !processes.contains(&***agent))
             .cloned()
             .collect();
         Some(Self {
-            missing: missing.into_iter().collect(),
+            agents_without_lines: agents_without_lines.into_iter().collect(),
             left_out: count_left_out(lines, &processes),
             lines: of_job,
         })
@@ -101,8 +101,8 @@
     /// Returns the agents that were assigned tasks but have no line about the job;
     /// their logs may be incomplete.
     #[must_use]
-    pub fn missing(&self) -> &[AgentId] {
-        &self.missing
+    pub fn agents_without_lines(&self) -> &[AgentId] {
+        &self.agents_without_lines
     }
 
     /// Returns how many lines each process of this history left out, about any
