--- a/crates/cli/src/operators/timeline.rs
+++ b/crates/cli/src/operators/timeline.rs
@@ -10,7 +10,7 @@
     },
     chestnutrun_observe::{
         Event,
-        gathered::{CausedEvent, EventFilter, event_line, order, trace_file},
+        merged_timeline::{CausedEvent, EventFilter, event_line, order, trace_file},
     },
     humantime::format_rfc3339_micros,
     serde_json::json,
--- a/crates/observe/src/gathered/order.rs
+++ b/crates/observe/src/merged_timeline/order.rs
@@ -1,7 +1,7 @@
 //! Orders the events of several processes by cause, then by time.
 
 use {
-    crate::{Event, ProcessId, Sequence, gathered::causes::causes},
+    crate::{Event, ProcessId, Sequence, merged_timeline::causes::causes},
     indexmap::IndexMap,
     serde::{Deserialize, Serialize},
     std::{cmp::Reverse, collections::BinaryHeap},
--- a/crates/observe/src/gathered/text.rs
+++ b/crates/observe/src/merged_timeline/text.rs
@@ -1,7 +1,7 @@
 //! Formats events as lines of text.
 
 use {
-    crate::{EventKind, gathered::CausedEvent},
+    crate::{EventKind, merged_timeline::CausedEvent},
     serde_json::Value,
     std::fmt::Write,
 };
--- a/crates/observe/src/gathered/trace_file.rs
+++ b/crates/observe/src/merged_timeline/trace_file.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         Event, EventKind, ProcessId,
-        gathered::{CausedEvent, EventRef, text::kind_name},
+        merged_timeline::{CausedEvent, EventRef, text::kind_name},
     },
     indexmap::{IndexMap, IndexSet},
     serde::Serialize,
--- a/crates/observe/tests/gathered.rs
+++ b/crates/observe/tests/merged_timeline.rs
@@ -3,7 +3,7 @@
 use {
     chestnutrun_observe::{
         Event, EventKind, Timeline,
-        gathered::{CausedEvent, EventFilter, event_line, order, trace_file},
+        merged_timeline::{CausedEvent, EventFilter, event_line, order, trace_file},
     },
     chestnutrun_types::{JobRef, TaskRef},
     rstest::rstest,
