--- a/crates/cli/src/operators/timeline.rs
+++ b/crates/cli/src/operators/timeline.rs
@@ -32,7 +32,7 @@
     }
     let filter = event_filter(&options);
     let mut events = order(events);
-    events.retain(|caused| filter.chooses(&caused.event));
+    events.retain(|caused| filter.matches(&caused.event));
     let format = options.format.unwrap_or(if common.json {
         TimelineFormat::Json
     } else {
--- a/crates/observe/src/merged_timeline/filter.rs
+++ b/crates/observe/src/merged_timeline/filter.rs
@@ -22,7 +22,7 @@
 
     /// Returns whether the filter selects an event.
     #[must_use]
-    pub fn chooses(&self, event: &Event) -> bool {
+    pub fn matches(&self, event: &Event) -> bool {
         let is_unset_or_equal = |wanted: &Option<String>, value: Option<&str>| {
             wanted.is_none() || wanted.as_deref() == value
         };
--- a/crates/observe/tests/merged_timeline.rs
+++ b/crates/observe/tests/merged_timeline.rs
@@ -111,7 +111,7 @@
 fn a_filter_selects_events(#[case] filter: EventFilter, #[case] count: usize) {
     let selected = events_of_one_task(0)
         .iter()
-        .filter(|e| filter.chooses(e))
+        .filter(|e| filter.matches(e))
         .count();
     assert_eq!(selected, count);
 }
