--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -257,7 +257,7 @@
     }
 
     fn send(&mut self, entry: &EntryId, message: Message) {
-        self.metrics.sent("entry", message.kind());
+        self.metrics.count_sent("entry", message.kind());
         if let Message::StartRefused(refused) = &message {
             self.note_refusal(refused);
         }
--- a/crates/bench/src/observation/run_observation.rs
+++ b/crates/bench/src/observation/run_observation.rs
@@ -29,7 +29,7 @@
         let at = SystemTime::now();
         timeline.task(at, EventKind::Started, &task, &endpoint, "");
     });
-    let message = time(|| metrics.sent("agent", "start"));
+    let message = time(|| metrics.count_sent("agent", "start"));
     let stopwatch = time(|| metrics.time_run().close("completed"));
     show("an event of a task", event);
     show("a counted message", message);
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -26,14 +26,14 @@
     }
 
     pub(super) fn send_agent(&mut self, endpoint: &EndpointId, message: Message) {
-        self.metrics.sent("agent", message.kind());
+        self.metrics.count_sent("agent", message.kind());
         if !self.links.send_agent(endpoint, message) {
             log::debug!("endpoint {endpoint} is out of reach");
         }
     }
 
     pub(super) fn send_entry(&mut self, entry: &EntryId, message: Message) {
-        self.metrics.sent("entry", message.kind());
+        self.metrics.count_sent("entry", message.kind());
         if !self.links.send_entry(entry, message) {
             log::debug!("entry {entry} is out of reach");
         }
@@ -55,7 +55,7 @@
     }
 
     pub(super) fn answer_entry(&mut self, entry: &EntryId, message: Message) {
-        self.metrics.sent("entry", message.kind());
+        self.metrics.count_sent("entry", message.kind());
         if !self.links.answer_entry(entry, message) {
             log::debug!("entry {entry} is out of reach");
         }
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -118,7 +118,7 @@
     }
 
     /// Counts a message sent to a peer.
-    pub fn sent(&self, peer: &'static str, kind: &'static str) {
+    pub fn count_sent(&self, peer: &'static str, kind: &'static str) {
         self.count_message("sent", peer, kind);
     }
 
