--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -211,7 +211,7 @@
     }
 
     fn message(&mut self, id: LinkId, message: Message) {
-        self.metrics.received("entry", message.kind());
+        self.metrics.count_received("entry", message.kind());
         if let Message::Hello(Hello::Entry(member)) = message {
             self.links.name(id, member.clone());
             self.timeline.process(
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -150,11 +150,11 @@
     fn message(&mut self, id: LinkId, message: Message) {
         match self.links.peer(id).cloned() {
             Some(Peer::Agent(endpoint)) if self.links.is_newest(id) => {
-                self.metrics.received("agent", message.kind());
+                self.metrics.count_received("agent", message.kind());
                 self.agent_message(endpoint, message);
             }
             Some(Peer::Entry(entry) | Peer::DialedEntry(entry)) => {
-                self.metrics.received("entry", message.kind());
+                self.metrics.count_received("entry", message.kind());
                 self.entry_message(entry, message);
             }
             Some(Peer::Agent(_)) | None => log::debug!("message on a replaced or closed link"),
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -123,7 +123,7 @@
     }
 
     /// Counts a message received from a peer.
-    pub fn received(&self, peer: &'static str, kind: &'static str) {
+    pub fn count_received(&self, peer: &'static str, kind: &'static str) {
         self.count_message("received", peer, kind);
     }
 
