--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -128,7 +128,7 @@
     }
 
     /// Counts messages that advanced no task.
-    pub fn wasted(&self, messages: u64, reason: &'static str) {
+    pub fn count_wasted(&self, messages: u64, reason: &'static str) {
         let labels = [KeyValue::new("reason", reason)];
         self.wasted_messages.add(messages, &labels);
     }
