--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -172,7 +172,7 @@
     fn event(&mut self, event: Event) {
         match event {
             Event::Ran(task, outcome) => {
-                self.metrics.task(outcome_name(&outcome));
+                self.metrics.count_task(outcome_name(&outcome));
                 let endpoint = self.hello.endpoint.clone();
                 let detail = outcome_name(&outcome);
                 self.timeline.task(
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -134,7 +134,7 @@
     }
 
     /// Counts a task that ended at the endpoint.
-    pub fn task(&self, outcome: &'static str) {
+    pub fn count_task(&self, outcome: &'static str) {
         self.tasks.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
