--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -274,7 +274,8 @@
     }
 
     fn note_refusal(&mut self, refused: &StartRefused) {
-        self.metrics.start_refused(refusal_name(refused.reason));
+        self.metrics
+            .count_refused_start(refusal_name(refused.reason));
         self.metrics
             .count_wasted(REFUSED_START_MESSAGES, "start-refused");
         self.timeline.task(
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -139,7 +139,7 @@
     }
 
     /// Counts a start that the agent refused.
-    pub fn start_refused(&self, reason: &'static str) {
+    pub fn count_refused_start(&self, reason: &'static str) {
         let labels = [KeyValue::new("reason", reason)];
         self.start_refusals.add(1, &labels);
     }
