--- a/crates/entry/src/daemon/callers_side.rs
+++ b/crates/entry/src/daemon/callers_side.rs
@@ -60,7 +60,7 @@
     }
 
     fn answer(&mut self, waiter: WaiterId, reply: Reply) {
-        self.metrics.reply(reply_name(&reply));
+        self.metrics.count_reply(reply_name(&reply));
         if let Some((tx, stopwatch)) = self.waiters.swap_remove(&waiter) {
             stopwatch.close(reply_name(&reply));
             // A caller who went away asks again.
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -145,7 +145,7 @@
     }
 
     /// Counts a reply to a caller.
-    pub fn reply(&self, kind: &'static str) {
+    pub fn count_reply(&self, kind: &'static str) {
         self.replies.add(1, &[KeyValue::new("kind", kind)]);
     }
 
