--- a/crates/entry/src/daemon/observation.rs
+++ b/crates/entry/src/daemon/observation.rs
@@ -78,7 +78,7 @@
     /// Counts how a read of the table ended.
     pub(super) fn count_read<T>(&self, read: &Result<T, TableError>) {
         let outcome = if read.is_ok() { "done" } else { "failed" };
-        self.metrics.table_request("read", outcome);
+        self.metrics.count_table_request("read", outcome);
     }
 
     /// Counts how a write of the table ended.
@@ -88,7 +88,7 @@
             WriteResult::Conflict(_) => "conflict",
             WriteResult::Unknown => "unknown",
         };
-        self.metrics.table_request("write", outcome);
+        self.metrics.count_table_request("write", outcome);
     }
 
     /// Notes a link that opened or closed.
--- a/crates/observe/src/metrics.rs
+++ b/crates/observe/src/metrics.rs
@@ -150,7 +150,7 @@
     }
 
     /// Counts a request to the platform's table.
-    pub fn table_request(&self, operation: &'static str, outcome: &'static str) {
+    pub fn count_table_request(&self, operation: &'static str, outcome: &'static str) {
         let labels = [
             KeyValue::new("operation", operation),
             KeyValue::new("outcome", outcome),
