--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -151,7 +151,7 @@
         }
         self.stop_by = Some(Instant::now() + self.conf.stop_within);
         self.timeline
-            .process(SystemTime::now(), EventKind::Leaving, "");
+            .add_process_event(SystemTime::now(), EventKind::Leaving, "");
         self.hello.leaving = true;
         self.links.announce(self.hello.clone());
         self.input(AgentInput::Leave);
@@ -199,7 +199,7 @@
             LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => {
                 if let Some(entry) = self.links.down(id) {
-                    self.timeline.process(
+                    self.timeline.add_process_event(
                         SystemTime::now(),
                         EventKind::LinkDown,
                         entry.to_string(),
@@ -214,7 +214,7 @@
         self.metrics.count_received("entry", message.kind());
         if let Message::Hello(Hello::Entry(member)) = message {
             self.links.name(id, member.clone());
-            self.timeline.process(
+            self.timeline.add_process_event(
                 SystemTime::now(),
                 EventKind::LinkUp,
                 member.entry.to_string(),
@@ -269,7 +269,7 @@
         if revision > self.machine.configuration() {
             let detail = revision.to_string();
             self.timeline
-                .process(SystemTime::now(), EventKind::Configured, detail);
+                .add_process_event(SystemTime::now(), EventKind::Configured, detail);
         }
     }
 
--- a/crates/entry/src/daemon/entry_daemon.rs
+++ b/crates/entry/src/daemon/entry_daemon.rs
@@ -146,7 +146,7 @@
         }
         self.stop_by = Some(Instant::now() + self.conf.stop_within);
         self.timeline
-            .process(SystemTime::now(), EventKind::Leaving, "");
+            .add_process_event(SystemTime::now(), EventKind::Leaving, "");
         self.membership_input(MembershipInput::Leave);
     }
 
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -232,7 +232,7 @@
             return;
         }
         log::info!("configuration {} is in force", configuration.revision);
-        self.timeline.process(
+        self.timeline.add_process_event(
             SystemTime::now(),
             EventKind::Configured,
             configuration.revision.to_string(),
--- a/crates/entry/src/daemon/observation.rs
+++ b/crates/entry/src/daemon/observation.rs
@@ -94,7 +94,7 @@
     /// Notes a link that opened or closed.
     pub(super) fn note_link(&mut self, kind: EventKind, peer: &str) {
         self.timeline
-            .process(SystemTime::now(), kind, peer.to_owned());
+            .add_process_event(SystemTime::now(), kind, peer.to_owned());
     }
 }
 
--- a/crates/entry/src/daemon/shards_side.rs
+++ b/crates/entry/src/daemon/shards_side.rs
@@ -53,7 +53,7 @@
         log::info!("owns {detail}");
         self.metrics.set_ownership(shard, epoch);
         self.timeline
-            .process(SystemTime::now(), EventKind::Owned, detail);
+            .add_process_event(SystemTime::now(), EventKind::Owned, detail);
         let configuration = self.configuration.clone().unwrap_or_default();
         let agents = self.links.known_agents();
         let conf = OwnerConf {
@@ -69,7 +69,7 @@
     pub(super) fn depose(&mut self, shard: ShardId) {
         log::info!("no longer owns shard {shard}");
         self.metrics.set_ownership(shard, 0);
-        self.timeline.process(
+        self.timeline.add_process_event(
             SystemTime::now(),
             EventKind::Deposed,
             format!("shard {shard}"),
--- a/crates/observe/src/timeline.rs
+++ b/crates/observe/src/timeline.rs
@@ -31,7 +31,7 @@
     }
 
     /// Adds an event about the process itself.
-    pub fn process(
+    pub fn add_process_event(
         &mut self,
         at: SystemTime,
         kind: EventKind,
--- a/crates/observe/tests/merged_timeline.rs
+++ b/crates/observe/tests/merged_timeline.rs
@@ -77,9 +77,9 @@
 fn events_without_a_cause_are_ordered_by_time() {
     let mut a = Timeline::new("a");
     let mut b = Timeline::new("b");
-    a.process(at(1), EventKind::LinkUp, "b");
-    b.process(at(2), EventKind::LinkUp, "a");
-    a.process(at(3), EventKind::Leaving, "");
+    a.add_process_event(at(1), EventKind::LinkUp, "b");
+    b.add_process_event(at(2), EventKind::LinkUp, "a");
+    a.add_process_event(at(3), EventKind::Leaving, "");
     let events = order(b.events().chain(a.events()).cloned());
     let times: Vec<SystemTime> = events.iter().map(|caused| caused.event.at).collect();
     assert_eq!(times, [at(1), at(2), at(3)]);
@@ -142,7 +142,7 @@
 fn a_full_timeline_keeps_the_newest_events() {
     let mut timeline = Timeline::new("a");
     for _ in 0..20_000 {
-        timeline.process(at(1), EventKind::LinkUp, "b");
+        timeline.add_process_event(at(1), EventKind::LinkUp, "b");
     }
     assert_eq!(timeline.events().count(), 16_384);
     assert_eq!(timeline.events().last().map(|e| e.sequence), Some(20_000));
