--- a/crates/entry/src/daemon/callers_side.rs
+++ b/crates/entry/src/daemon/callers_side.rs
@@ -24,7 +24,7 @@
         }
         if matches!(caller.request, Request::Submit(_)) {
             self.timeline
-                .job(SystemTime::now(), EventKind::Submitted, &job, "");
+                .add_job_event(SystemTime::now(), EventKind::Submitted, &job, "");
         }
         let waiter = (caller.reply, self.metrics.time_response());
         self.waiters.insert(caller.waiter, waiter);
--- a/crates/entry/src/daemon/observation.rs
+++ b/crates/entry/src/daemon/observation.rs
@@ -27,7 +27,8 @@
             None => EventKind::Admitted,
         };
         let at = SystemTime::now();
-        self.timeline.job(at, kind, job, refusal.unwrap_or(""));
+        self.timeline
+            .add_job_event(at, kind, job, refusal.unwrap_or(""));
     }
 
     /// Notes an owner's reply at the entry whose caller asked.
@@ -45,7 +46,8 @@
             _ => EventKind::Declined,
         };
         let detail = reply_name(reply);
-        self.timeline.job(SystemTime::now(), kind, job, detail);
+        self.timeline
+            .add_job_event(SystemTime::now(), kind, job, detail);
     }
 
     /// Sets the gauges to the present state.
--- a/crates/observe/src/timeline.rs
+++ b/crates/observe/src/timeline.rs
@@ -42,7 +42,13 @@
     }
 
     /// Adds an event about a job.
-    pub fn job(&mut self, at: SystemTime, kind: EventKind, job: &JobRef, detail: &'static str) {
+    pub fn add_job_event(
+        &mut self,
+        at: SystemTime,
+        kind: EventKind,
+        job: &JobRef,
+        detail: &'static str,
+    ) {
         let mut event = self.next_event(at, kind, detail);
         event.contract = Some(job.contract.clone());
         event.key = Some(job.key.clone());
--- a/crates/observe/tests/merged_timeline.rs
+++ b/crates/observe/tests/merged_timeline.rs
@@ -34,12 +34,12 @@
     let endpoint = "endpoint-0".into();
     let skewed = |ms: i64| at(u64::try_from(10_000 + ms + skew).expect("after the epoch"));
     let exact = |ms: u64| at(10_000 + ms);
-    entry.job(exact(0), EventKind::Submitted, &job(), "");
-    owner.job(exact(1), EventKind::Admitted, &job(), "");
+    entry.add_job_event(exact(0), EventKind::Submitted, &job(), "");
+    owner.add_job_event(exact(1), EventKind::Admitted, &job(), "");
     owner.task(exact(2), EventKind::StartSent, &task(), &endpoint, "");
     agent.task(skewed(3), EventKind::Started, &task(), &endpoint, "");
     agent.task(skewed(4), EventKind::Ended, &task(), &endpoint, "completed");
-    entry.job(exact(5), EventKind::Answered, &job(), "answered");
+    entry.add_job_event(exact(5), EventKind::Answered, &job(), "answered");
     [entry, owner, agent]
         .iter()
         .flat_map(|timeline| timeline.events().cloned().collect::<Vec<_>>())
@@ -90,7 +90,7 @@
     use EventKind as K;
     let mut owner = Timeline::new("entry-0");
     let mut agent = Timeline::new("agent-0");
-    owner.job(at(1), K::Admitted, &job(), "");
+    owner.add_job_event(at(1), K::Admitted, &job(), "");
     owner.task(at(2), K::StartSent, &task(), &"e-0".into(), "");
     agent.task(at(3), K::StartRefused, &task(), &"e-0".into(), "no-slot");
     owner.task(at(4), K::StartSent, &task(), &"e-1".into(), "");
