--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -175,7 +175,7 @@
                 self.metrics.count_task(outcome_name(&outcome));
                 let endpoint = self.hello.endpoint.clone();
                 let detail = outcome_name(&outcome);
-                self.timeline.task(
+                self.timeline.add_task_event(
                     SystemTime::now(),
                     EventKind::Ended,
                     &task,
@@ -278,7 +278,7 @@
             .count_refused_start(refusal_name(refused.reason));
         self.metrics
             .count_wasted(REFUSED_START_MESSAGES, "start-refused");
-        self.timeline.task(
+        self.timeline.add_task_event(
             SystemTime::now(),
             EventKind::StartRefused,
             &refused.task,
@@ -289,7 +289,7 @@
 
     fn start(&mut self, start: Start) {
         let endpoint: EndpointId = self.hello.endpoint.clone();
-        self.timeline.task(
+        self.timeline.add_task_event(
             SystemTime::now(),
             EventKind::Started,
             &start.task,
--- a/crates/bench/src/observation/run_observation.rs
+++ b/crates/bench/src/observation/run_observation.rs
@@ -27,7 +27,7 @@
     let task = job.task(0);
     let event = time(|| {
         let at = SystemTime::now();
-        timeline.task(at, EventKind::Started, &task, &endpoint, "");
+        timeline.add_task_event(at, EventKind::Started, &task, &endpoint, "");
     });
     let message = time(|| metrics.count_sent("agent", "start"));
     let stopwatch = time(|| metrics.time_run().close("completed"));
--- a/crates/entry/src/daemon/shards_side.rs
+++ b/crates/entry/src/daemon/shards_side.rs
@@ -82,7 +82,7 @@
             AgentOrder::Fence(fence) => Message::Fence(fence),
             AgentOrder::Lookup(lookup) => Message::Lookup(lookup),
             AgentOrder::Start(start) => {
-                self.timeline.task(
+                self.timeline.add_task_event(
                     SystemTime::now(),
                     EventKind::StartSent,
                     &start.task,
--- a/crates/observe/src/timeline.rs
+++ b/crates/observe/src/timeline.rs
@@ -56,7 +56,7 @@
     }
 
     /// Adds an event about a task at an endpoint.
-    pub fn task(
+    pub fn add_task_event(
         &mut self,
         at: SystemTime,
         kind: EventKind,
--- a/crates/observe/tests/merged_timeline.rs
+++ b/crates/observe/tests/merged_timeline.rs
@@ -36,9 +36,9 @@
     let exact = |ms: u64| at(10_000 + ms);
     entry.add_job_event(exact(0), EventKind::Submitted, &job(), "");
     owner.add_job_event(exact(1), EventKind::Admitted, &job(), "");
-    owner.task(exact(2), EventKind::StartSent, &task(), &endpoint, "");
-    agent.task(skewed(3), EventKind::Started, &task(), &endpoint, "");
-    agent.task(skewed(4), EventKind::Ended, &task(), &endpoint, "completed");
+    owner.add_task_event(exact(2), EventKind::StartSent, &task(), &endpoint, "");
+    agent.add_task_event(skewed(3), EventKind::Started, &task(), &endpoint, "");
+    agent.add_task_event(skewed(4), EventKind::Ended, &task(), &endpoint, "completed");
     entry.add_job_event(exact(5), EventKind::Answered, &job(), "answered");
     [entry, owner, agent]
         .iter()
@@ -91,9 +91,9 @@
     let mut owner = Timeline::new("entry-0");
     let mut agent = Timeline::new("agent-0");
     owner.add_job_event(at(1), K::Admitted, &job(), "");
-    owner.task(at(2), K::StartSent, &task(), &"e-0".into(), "");
-    agent.task(at(3), K::StartRefused, &task(), &"e-0".into(), "no-slot");
-    owner.task(at(4), K::StartSent, &task(), &"e-1".into(), "");
+    owner.add_task_event(at(2), K::StartSent, &task(), &"e-0".into(), "");
+    agent.add_task_event(at(3), K::StartRefused, &task(), &"e-0".into(), "no-slot");
+    owner.add_task_event(at(4), K::StartSent, &task(), &"e-1".into(), "");
     let events = order(owner.events().chain(agent.events()).cloned());
     let last = events.last().expect("there are events");
     let cause = last.cause.as_ref().expect("it has a cause");
