--- a/crates/dispatch/src/recorder.rs
+++ b/crates/dispatch/src/recorder.rs
@@ -92,7 +92,7 @@
             return String::new();
         };
         for call in calls {
-            metrics.directory_calls(call.call, call.outcome, call.count);
+            metrics.set_directory_call_count(call.call, call.outcome, call.count);
         }
         for (name, value) in gauges {
             metrics.set(name, *value);
--- a/crates/observe/src/dispatch_metrics.rs
+++ b/crates/observe/src/dispatch_metrics.rs
@@ -122,7 +122,12 @@
 
     /// Raises the counter of directory calls that ended in `outcome` to `count`,
     /// the total since the process started.
-    pub fn directory_calls(&mut self, call: &'static str, outcome: &'static str, count: u64) {
+    pub fn set_directory_call_count(
+        &mut self,
+        call: &'static str,
+        outcome: &'static str,
+        count: u64,
+    ) {
         let counted = self.counted_calls.entry((call, outcome)).or_default();
         let labels = [
             KeyValue::new("call", call),
