--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -156,7 +156,7 @@
         }
         self.stop_by = Some(Instant::now() + self.conf.stop_within);
         self.timeline
-            .process(SystemTime::now(), EventKind::Leaving, "");
+            .add_process_event(SystemTime::now(), EventKind::Leaving, "");
         self.hello.leaving = true;
         self.links.announce(self.hello.clone());
         self.input(AgentInput::Leave);
@@ -181,10 +181,10 @@
     fn event(&mut self, event: Event) {
         match event {
             Event::RunEnded(task, outcome) => {
-                self.metrics.task(outcome_name(&outcome));
+                self.metrics.count_task(outcome_name(&outcome));
                 let endpoint = self.hello.endpoint.clone();
                 let detail = outcome_name(&outcome);
-                self.timeline.task(
+                self.timeline.add_task_event(
                     SystemTime::now(),
                     EventKind::Ended,
                     &task,
@@ -208,7 +208,7 @@
             LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => {
                 if let Some(entry) = self.links.remove(id) {
-                    self.timeline.process(
+                    self.timeline.add_process_event(
                         SystemTime::now(),
                         EventKind::LinkDown,
                         entry.to_string(),
@@ -220,10 +220,10 @@
     }
 
     fn message(&mut self, id: LinkId, message: Message) {
-        self.metrics.received("entry", message.kind());
+        self.metrics.count_received("entry", message.kind());
         if let Message::Hello(Hello::Entry(member)) = message {
             self.links.set_peer(id, member.clone());
-            self.timeline.process(
+            self.timeline.add_process_event(
                 SystemTime::now(),
                 EventKind::LinkUp,
                 member.entry.to_string(),
@@ -267,7 +267,7 @@
     }
 
     fn send(&mut self, entry: &EntryId, message: Message) {
-        self.metrics.sent("entry", message.kind());
+        self.metrics.count_sent("entry", message.kind());
         if let Message::StartRefused(refused) = &message {
             self.record_refusal(refused);
         }
@@ -279,15 +279,17 @@
         if revision > self.machine.configuration() {
             let detail = revision.to_string();
             self.timeline
-                .process(SystemTime::now(), EventKind::Configured, detail);
+                .add_process_event(SystemTime::now(), EventKind::Configured, detail);
         }
     }
 
     /// Counts a refused start and records it on the timeline.
     fn record_refusal(&mut self, refused: &StartRefused) {
-        self.metrics.start_refused(refusal_name(refused.reason));
-        self.metrics.wasted(REFUSED_START_MESSAGES, "start-refused");
-        self.timeline.task(
+        self.metrics
+            .count_refused_start(refusal_name(refused.reason));
+        self.metrics
+            .count_wasted(REFUSED_START_MESSAGES, "start-refused");
+        self.timeline.add_task_event(
             SystemTime::now(),
             EventKind::StartRefused,
             &refused.task,
@@ -298,7 +300,7 @@
 
     fn start_run(&mut self, start: Start) {
         let endpoint: EndpointId = self.hello.endpoint.clone();
-        self.timeline.task(
+        self.timeline.add_task_event(
             SystemTime::now(),
             EventKind::Started,
             &start.task,
--- a/crates/bench/src/observation/run_observation.rs
+++ b/crates/bench/src/observation/run_observation.rs
@@ -27,9 +27,9 @@
     let task = job.task(0);
     let event = mean_time(|| {
         let at = SystemTime::now();
-        timeline.task(at, EventKind::Started, &task, &endpoint, "");
+        timeline.add_task_event(at, EventKind::Started, &task, &endpoint, "");
     });
-    let message = mean_time(|| metrics.sent("agent", "start"));
+    let message = mean_time(|| metrics.count_sent("agent", "start"));
     let stopwatch = mean_time(|| metrics.time_run().close("completed"));
     print_cost("an event of a task", event);
     print_cost("a counted message", message);
--- a/crates/cli/src/operators/explain.rs
+++ b/crates/cli/src/operators/explain.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{CliError, Outcome, arguments::ExplainOptions, output::show_line},
-    chestnutrun_observe::{JobSummary, LogLine, Story, summaries},
+    chestnutrun_observe::{JobHistory, JobSummary, LogLine, summarize_jobs},
     std::{
         fs,
         io::{Read, stdin},
@@ -24,7 +24,7 @@
             "give the ID of a job, --slow or --refused",
         ));
     }
-    for summary in select_summaries(options, summaries(&lines)) {
+    for summary in select_summaries(options, summarize_jobs(&lines)) {
         let at = SystemTime::UNIX_EPOCH + Duration::from_micros(summary.at_us);
         let at = humantime::format_rfc3339_millis(at);
         let took = summary.took.as_millis();
@@ -52,7 +52,7 @@
 }
 
 fn explain_job(job: &str, lines: &[LogLine]) -> Result<Outcome, CliError> {
-    let history = Story::of(job, lines);
+    let history = JobHistory::of(job, lines);
     let history =
         history.ok_or_else(|| CliError::Invalid(format!("no log line is about job {job}")))?;
     let begin = history.lines().first().map_or(0, |line| line.at_us);
@@ -68,13 +68,13 @@
         show_line(format_args!(
             "Longest time without a log line: {} ms, from {} at {} to {} at {}.",
             length.as_millis(),
-            from.note.name(),
+            from.event.name(),
             from.process,
-            to.note.name(),
+            to.event.name(),
             to.process,
         ));
     }
-    for agent in history.missing() {
+    for agent in history.agents_without_lines() {
         show_line(format_args!(
             "Missing: {agent} got tasks, but there is no log line from it."
         ));
@@ -91,8 +91,8 @@
 /// Formats the decision of a log line with its fields, without the job, which is
 /// the same in all lines.
 fn describe(line: &LogLine) -> String {
-    let Ok(serde_json::Value::Object(fields)) = serde_json::to_value(&line.note) else {
-        return line.note.name().to_owned();
+    let Ok(serde_json::Value::Object(fields)) = serde_json::to_value(&line.event) else {
+        return line.event.name().to_owned();
     };
     let details = fields
         .iter()
@@ -100,7 +100,7 @@
     let details: Vec<String> = details
         .map(|(name, value)| format!("{name}={value}"))
         .collect();
-    format!("{} {}", line.note.name(), details.join(" "))
+    format!("{} {}", line.event.name(), details.join(" "))
 }
 
 fn read_lines(options: &ExplainOptions) -> Result<Vec<LogLine>, CliError> {
--- a/crates/cli/src/operators/timeline.rs
+++ b/crates/cli/src/operators/timeline.rs
@@ -10,7 +10,7 @@
     },
     chestnutrun_observe::{
         Event,
-        gathered::{CausedEvent, EventFilter, event_line, order, trace_file},
+        merged_timeline::{CausedEvent, EventFilter, event_line, order, trace_file},
     },
     humantime::format_rfc3339_micros,
     serde_json::json,
@@ -32,7 +32,7 @@
     }
     let filter = event_filter(&options);
     let mut events = order(events);
-    events.retain(|caused| filter.chooses(&caused.event));
+    events.retain(|caused| filter.matches(&caused.event));
     let format = options.format.unwrap_or(if common.json {
         TimelineFormat::Json
     } else {
--- a/crates/entry/src/daemon/callers_side.rs
+++ b/crates/entry/src/daemon/callers_side.rs
@@ -25,7 +25,7 @@
         }
         if matches!(caller.request, Request::Submit(_)) {
             self.timeline
-                .job(SystemTime::now(), EventKind::Submitted, &job, "");
+                .add_job_event(SystemTime::now(), EventKind::Submitted, &job, "");
         }
         let waiter = (caller.reply, self.metrics.time_response());
         self.waiters.insert(caller.waiter, waiter);
@@ -64,7 +64,7 @@
     }
 
     fn answer(&mut self, waiter: WaiterId, reply: Reply) {
-        self.metrics.reply(reply_name(&reply));
+        self.metrics.count_reply(reply_name(&reply));
         if let Some((tx, stopwatch)) = self.waiters.swap_remove(&waiter) {
             stopwatch.close(reply_name(&reply));
             // The caller may have disconnected; it can query the job later.
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -26,14 +26,14 @@
     }
 
     pub(super) fn send_agent(&mut self, endpoint: &EndpointId, message: Message) {
-        self.metrics.sent("agent", message.kind());
+        self.metrics.count_sent("agent", message.kind());
         if !self.links.send_agent(endpoint, message) {
             log::debug!("could not send a message to the agent of endpoint {endpoint}");
         }
     }
 
     pub(super) fn send_entry(&mut self, entry: &EntryId, message: Message) {
-        self.metrics.sent("entry", message.kind());
+        self.metrics.count_sent("entry", message.kind());
         if !self.links.send_entry(entry, message) {
             log::debug!("could not send a message to entry {entry}");
         }
@@ -56,7 +56,7 @@
     }
 
     pub(super) fn reply_to_entry(&mut self, entry: &EntryId, message: Message) {
-        self.metrics.sent("entry", message.kind());
+        self.metrics.count_sent("entry", message.kind());
         if !self.links.reply_to_entry(entry, message) {
             log::debug!("could not send a message to entry {entry}");
         }
@@ -156,11 +156,11 @@
     fn message(&mut self, id: LinkId, message: Message) {
         match self.links.peer(id).cloned() {
             Some(Peer::Agent(endpoint)) if self.links.is_newest(id) => {
-                self.metrics.received("agent", message.kind());
+                self.metrics.count_received("agent", message.kind());
                 self.agent_message(endpoint, message);
             }
             Some(Peer::Entry(entry) | Peer::DialedEntry(entry)) => {
-                self.metrics.received("entry", message.kind());
+                self.metrics.count_received("entry", message.kind());
                 self.entry_message(entry, message);
             }
             Some(Peer::Agent(_)) | None => log::debug!("message on a replaced or closed link"),
@@ -239,7 +239,7 @@
             return;
         }
         log::info!("configuration {} is in force", configuration.revision);
-        self.timeline.process(
+        self.timeline.add_process_event(
             SystemTime::now(),
             EventKind::Configured,
             configuration.revision.to_string(),
--- a/crates/entry/src/daemon/observation.rs
+++ b/crates/entry/src/daemon/observation.rs
@@ -33,7 +33,8 @@
             None => EventKind::Admitted,
         };
         let at = SystemTime::now();
-        self.timeline.job(at, kind, job, refusal.unwrap_or(""));
+        self.timeline
+            .add_job_event(at, kind, job, refusal.unwrap_or(""));
     }
 
     /// Records on the timeline an owner's reply to a caller of this entry.
@@ -51,7 +52,8 @@
             _ => EventKind::Declined,
         };
         let detail = reply_name(reply);
-        self.timeline.job(SystemTime::now(), kind, job, detail);
+        self.timeline
+            .add_job_event(SystemTime::now(), kind, job, detail);
     }
 
     /// Sets the gauges of the metrics to the current state.
@@ -84,7 +86,7 @@
     /// Counts a read of the table by its outcome.
     pub(super) fn count_read<T>(&self, read: &Result<T, TableError>) {
         let outcome = if read.is_ok() { "done" } else { "failed" };
-        self.metrics.table_request("read", outcome);
+        self.metrics.count_table_request("read", outcome);
     }
 
     /// Counts a write of the table by its outcome.
@@ -94,13 +96,13 @@
             WriteResult::Conflict(_) => "conflict",
             WriteResult::Unknown => "unknown",
         };
-        self.metrics.table_request("write", outcome);
+        self.metrics.count_table_request("write", outcome);
     }
 
     /// Records on the timeline that a link opened or closed.
     pub(super) fn record_link(&mut self, kind: EventKind, peer: &str) {
         self.timeline
-            .process(SystemTime::now(), kind, peer.to_owned());
+            .add_process_event(SystemTime::now(), kind, peer.to_owned());
     }
 }
 
--- a/crates/entry/src/daemon/shards_side.rs
+++ b/crates/entry/src/daemon/shards_side.rs
@@ -55,7 +55,7 @@
         log::info!("began to own {detail}");
         self.metrics.set_ownership(shard, epoch);
         self.timeline
-            .process(SystemTime::now(), EventKind::Owned, detail);
+            .add_process_event(SystemTime::now(), EventKind::Owned, detail);
         let configuration = self.configuration.clone().unwrap_or_default();
         let agents = self.links.known_agents();
         let conf = OwnerConf {
@@ -73,7 +73,7 @@
     pub(super) fn end_ownership(&mut self, shard: ShardId) {
         log::info!("lost the ownership of shard {shard}");
         self.metrics.set_ownership(shard, 0);
-        self.timeline.process(
+        self.timeline.add_process_event(
             SystemTime::now(),
             EventKind::Deposed,
             format!("shard {shard}"),
@@ -86,7 +86,7 @@
             AgentOrder::Fence(fence) => Message::Fence(fence),
             AgentOrder::Lookup(lookup) => Message::Lookup(lookup),
             AgentOrder::Start(start) => {
-                self.timeline.task(
+                self.timeline.add_task_event(
                     SystemTime::now(),
                     EventKind::StartSent,
                     &start.task,
--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -1,14 +1,14 @@
-//! What operators see: logs, metrics and the time line.
+//! Observability for operators: logs, metrics and the timeline.
 
 mod decision_log;
 mod dispatch_metrics;
 mod event;
 mod exporter;
-pub mod gathered;
+mod job_history;
 mod logs;
+pub mod merged_timeline;
 mod metrics;
 mod stopwatch;
-mod story;
 mod timeline;
 
 pub use {
@@ -16,9 +16,9 @@
     dispatch_metrics::DispatchMetrics,
     event::{Event, EventKind, ProcessId, Sequence},
     exporter::as_u64,
+    job_history::{JobHistory, JobSummary, summarize_jobs},
     logs::start_logs,
     metrics::{Metrics, MetricsError},
     stopwatch::Stopwatch,
-    story::{JobSummary, Story, summaries},
     timeline::Timeline,
 };
--- a/crates/observe/tests/gathered.rs
+++ b/crates/observe/tests/merged_timeline.rs
@@ -1,9 +1,9 @@
-//! The time line over all processes: causes, order and forms.
+//! The merged timeline of several processes: causes, order and output formats.
 
 use {
     chestnutrun_observe::{
         Event, EventKind, Timeline,
-        gathered::{CausedEvent, EventFilter, event_line, order, trace_file},
+        merged_timeline::{CausedEvent, EventFilter, event_line, order, trace_file},
     },
     chestnutrun_types::{JobRef, TaskRef},
     rstest::rstest,
@@ -25,21 +25,21 @@
     job().task(0)
 }
 
-/// One task, submitted at one entry and owned by another; the agent's clock is
-/// wrong by `skew` milliseconds.
-fn one_task(skew: i64) -> Vec<Event> {
+/// Returns the events of one task that was submitted to one entry and owned by
+/// another. The agent's clock is `skew` milliseconds fast, or slow if negative.
+fn events_of_one_task(skew: i64) -> Vec<Event> {
     let mut entry = Timeline::new("entry-1");
     let mut owner = Timeline::new("entry-0");
     let mut agent = Timeline::new("agent-0");
     let endpoint = "endpoint-0".into();
     let skewed = |ms: i64| at(u64::try_from(10_000 + ms + skew).expect("after the epoch"));
     let exact = |ms: u64| at(10_000 + ms);
-    entry.job(exact(0), EventKind::Submitted, &job(), "");
-    owner.job(exact(1), EventKind::Admitted, &job(), "");
-    owner.task(exact(2), EventKind::StartSent, &task(), &endpoint, "");
-    agent.task(skewed(3), EventKind::Started, &task(), &endpoint, "");
-    agent.task(skewed(4), EventKind::Ended, &task(), &endpoint, "completed");
-    entry.job(exact(5), EventKind::Answered, &job(), "answered");
+    entry.add_job_event(exact(0), EventKind::Submitted, &job(), "");
+    owner.add_job_event(exact(1), EventKind::Admitted, &job(), "");
+    owner.add_task_event(exact(2), EventKind::StartSent, &task(), &endpoint, "");
+    agent.add_task_event(skewed(3), EventKind::Started, &task(), &endpoint, "");
+    agent.add_task_event(skewed(4), EventKind::Ended, &task(), &endpoint, "completed");
+    entry.add_job_event(exact(5), EventKind::Answered, &job(), "answered");
     [entry, owner, agent]
         .iter()
         .flat_map(|timeline| timeline.events().cloned().collect::<Vec<_>>())
@@ -52,11 +52,11 @@
 
 #[rstest]
 #[case::true_clock(0)]
-#[case::late_clock(5_000)]
-#[case::early_clock(-5_000)]
-fn a_cause_goes_before_its_effect_whatever_the_clocks_say(#[case] skew: i64) {
+#[case::fast_clock(5_000)]
+#[case::slow_clock(-5_000)]
+fn a_cause_stands_before_its_effect_despite_clock_skew(#[case] skew: i64) {
     use EventKind as K;
-    let events = order(one_task(skew));
+    let events = order(events_of_one_task(skew));
     let expected = [
         K::Submitted,
         K::Admitted,
@@ -77,9 +77,9 @@
 fn events_without_a_cause_are_ordered_by_time() {
     let mut a = Timeline::new("a");
     let mut b = Timeline::new("b");
-    a.process(at(1), EventKind::LinkUp, "b");
-    b.process(at(2), EventKind::LinkUp, "a");
-    a.process(at(3), EventKind::Leaving, "");
+    a.add_process_event(at(1), EventKind::LinkUp, "b");
+    b.add_process_event(at(2), EventKind::LinkUp, "a");
+    a.add_process_event(at(3), EventKind::Leaving, "");
     let events = order(b.events().chain(a.events()).cloned());
     let times: Vec<SystemTime> = events.iter().map(|caused| caused.event.at).collect();
     assert_eq!(times, [at(1), at(2), at(3)]);
@@ -90,10 +90,10 @@
     use EventKind as K;
     let mut owner = Timeline::new("entry-0");
     let mut agent = Timeline::new("agent-0");
-    owner.job(at(1), K::Admitted, &job(), "");
-    owner.task(at(2), K::StartSent, &task(), &"e-0".into(), "");
-    agent.task(at(3), K::StartRefused, &task(), &"e-0".into(), "no-slot");
-    owner.task(at(4), K::StartSent, &task(), &"e-1".into(), "");
+    owner.add_job_event(at(1), K::Admitted, &job(), "");
+    owner.add_task_event(at(2), K::StartSent, &task(), &"e-0".into(), "");
+    agent.add_task_event(at(3), K::StartRefused, &task(), &"e-0".into(), "no-slot");
+    owner.add_task_event(at(4), K::StartSent, &task(), &"e-1".into(), "");
     let events = order(owner.events().chain(agent.events()).cloned());
     let last = events.last().expect("there are events");
     let cause = last.cause.as_ref().expect("it has a cause");
@@ -108,14 +108,17 @@
 #[case::endpoint(EventFilter::builder().endpoint(Some("endpoint-0".into())).build(), 3)]
 #[case::since(EventFilter::builder().since(Some(at(10_004))).build(), 2)]
 #[case::until(EventFilter::builder().until(Some(at(10_001))).build(), 1)]
-fn events_are_chosen(#[case] filter: EventFilter, #[case] count: usize) {
-    let chosen = one_task(0).iter().filter(|e| filter.chooses(e)).count();
-    assert_eq!(chosen, count);
+fn a_filter_selects_events(#[case] filter: EventFilter, #[case] count: usize) {
+    let selected = events_of_one_task(0)
+        .iter()
+        .filter(|e| filter.matches(e))
+        .count();
+    assert_eq!(selected, count);
 }
 
 #[rstest]
-fn an_event_is_one_line() {
-    let events = order(one_task(0));
+fn an_event_is_formatted_as_one_line() {
+    let events = order(events_of_one_task(0));
     let line = event_line(&events[4], "00:00");
     let expected = "00:00 agent-0            2      ended         letters/k1#0 at endpoint-0 \
                     (completed) <- agent-0 1";
@@ -124,7 +127,7 @@
 
 #[rstest]
 fn a_trace_file_has_tracks_bars_and_arrows() {
-    let file = trace_file(&order(one_task(0)));
+    let file = trace_file(&order(events_of_one_task(0)));
     let events = file["traceEvents"].as_array().expect("it has events");
     let count = |phase: &str| events.iter().filter(|e| e["ph"] == phase).count();
     assert_eq!(count("M"), 3, "a track for each process");
@@ -136,18 +139,18 @@
 }
 
 #[rstest]
-fn a_ring_keeps_the_newest_events() {
+fn a_full_timeline_keeps_the_newest_events() {
     let mut timeline = Timeline::new("a");
     for _ in 0..20_000 {
-        timeline.process(at(1), EventKind::LinkUp, "b");
+        timeline.add_process_event(at(1), EventKind::LinkUp, "b");
     }
     assert_eq!(timeline.events().count(), 16_384);
     assert_eq!(timeline.events().last().map(|e| e.sequence), Some(20_000));
 }
 
 #[rstest]
-fn events_survive_json() {
-    for event in one_task(0) {
+fn an_event_read_back_from_json_is_unchanged() {
+    for event in events_of_one_task(0) {
         let text = serde_json::to_string(&event).expect("events are serialised");
         let read: Event = serde_json::from_str(&text).expect("events are read");
         assert_eq!(read, event);
