--- a/crates/decisions/src/agent/agent_machine.rs
+++ b/crates/decisions/src/agent/agent_machine.rs
@@ -23,7 +23,7 @@
     pub slots: u32,
 }
 
-/// Decides which starts one endpoint gets, and keeps a record of each start.
+/// Decides which tasks start at one endpoint, and keeps a record of each start.
 #[derive(Debug)]
 pub struct AgentMachine {
     conf: AgentConf,
@@ -170,7 +170,7 @@
     fn handle_lookup(&mut self, now: Now, entry: &EntryId, lookup: Lookup) -> Vec<AgentAction> {
         let voided = self.records.void_starts(now.instant, &lookup);
         let reply = LookupReply {
-            records: self.records.of_job(&lookup.job),
+            records: self.records.job_records(&lookup.job),
             job: lookup.job,
             voided,
         };
@@ -185,7 +185,7 @@
             RunOutcome::Completed(output) => TaskOutcome::Completed(output),
             RunOutcome::Failed(error) => TaskOutcome::FailedWhileRunning(error),
             RunOutcome::Unknown => TaskOutcome::OutcomeUnknown,
-            RunOutcome::NotStarted => return self.not_started(task),
+            RunOutcome::NotStarted => return self.handle_unstarted_run(task),
         };
         let Some(digest) = self.records.record_end(task, outcome.clone()) else {
             return Vec::new();
@@ -201,7 +201,7 @@
         }
     }
 
-    fn not_started(&mut self, task: &TaskRef) -> Vec<AgentAction> {
+    fn handle_unstarted_run(&mut self, task: &TaskRef) -> Vec<AgentAction> {
         let Some((epoch, attempt)) = self.records.remove_unstarted(task) else {
             return Vec::new();
         };
@@ -271,7 +271,7 @@
     }
 
     /// Returns the entries to ask for a confirmation: the owner, or every linked
-    /// entry where no owner is known or linked.
+    /// entry if no linked owner is known.
     fn confirm_targets(&self) -> Vec<EntryId> {
         match self.linked_owner() {
             Some(owner) => vec![owner],
--- a/crates/decisions/src/agent/fence_state.rs
+++ b/crates/decisions/src/agent/fence_state.rs
@@ -67,7 +67,7 @@
         }
         let voters = &confirmation.voters;
         if !voters.is_empty() && !is_majority(voters, &self.informed_entries) {
-            // Otherwise a later owner might not learn of this agent.
+            // Without that majority, a later owner might not learn of this agent.
             return;
         }
         let until = requested_at + OWNERSHIP_LEASE;
--- a/crates/decisions/src/agent/mod.rs
+++ b/crates/decisions/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! Decisions of an agent: which starts its endpoint gets, and the records of
+//! Decisions of an agent: which tasks start at its endpoint, and the records of
 //! these starts.
 
 mod agent_machine;
--- a/crates/decisions/src/agent/task_records.rs
+++ b/crates/decisions/src/agent/task_records.rs
@@ -113,7 +113,7 @@
 
     /// Returns every record of a job.
     #[must_use]
-    pub fn of_job(&self, job: &JobRef) -> Vec<TaskRecord> {
+    pub fn job_records(&self, job: &JobRef) -> Vec<TaskRecord> {
         self.jobs
             .get(job)
             .map(|job| job.started.values().map(|(r, _)| r.clone()).collect())
--- a/crates/decisions/src/front/front_machine.rs
+++ b/crates/decisions/src/front/front_machine.rs
@@ -144,8 +144,8 @@
 
     /// Answers every caller that waits under a key with the owner's final reply.
     ///
-    /// A claim "not run" of an earlier owner is ignored if a later one was sent the
-    /// request: the later owner may run the job, and its reply follows.
+    /// The claim "not run" of an earlier owner is ignored if the request was since
+    /// sent to a later owner, which may run the job and whose reply follows.
     fn complete(&mut self, key: &PendingKey, reply: &JobReply) {
         let Some(pending) = self.pending.get_mut(key) else {
             return;
--- a/crates/decisions/src/front/messages.rs
+++ b/crates/decisions/src/front/messages.rs
@@ -29,8 +29,8 @@
     Reply(JobReply),
     /// A shard has a new owner.
     OwnerChanged(ShardOwner),
-    /// The owner of a shard accepts requests now. Requests that reached it before it
-    /// knew of its ownership may have been dropped.
+    /// The owner of a shard accepts requests now. Requests that the owner received
+    /// before it knew of its ownership may have been dropped.
     OwnerReady(ShardId),
     /// A link to another entry opened.
     LinkUp(EntryId),
--- a/crates/decisions/src/membership/acknowledgements.rs
+++ b/crates/decisions/src/membership/acknowledgements.rs
@@ -13,7 +13,7 @@
 }
 
 impl Acknowledgements {
-    /// Creates a count for the electorates of earlier ownerships, without empty ones.
+    /// Creates a count for the electorates of earlier ownerships; skips empty ones.
     #[must_use]
     pub fn new(electorates: Vec<Electorate>) -> Self {
         let mut electorates = electorates;
--- a/crates/decisions/src/membership/agent_runs.rs
+++ b/crates/decisions/src/membership/agent_runs.rs
@@ -106,7 +106,7 @@
 
     /// Returns the known runs of one shard's agents.
     #[must_use]
-    pub fn of_shard(&self, shard: ShardId) -> KnownAgents {
+    pub fn shard_agents(&self, shard: ShardId) -> KnownAgents {
         let mut known = self.known_agents();
         known.runs.retain(|run| run.shard == shard);
         known
--- a/crates/decisions/src/membership/claims.rs
+++ b/crates/decisions/src/membership/claims.rs
@@ -72,7 +72,7 @@
             shard,
             epoch,
             written_at: now.instant,
-            known: self.agents.of_shard(shard),
+            known: self.agents.shard_agents(shard),
         });
         self.check_acknowledged(now, shard, KnownAgents::default());
         self.announce_ownership(shard, None);
@@ -169,7 +169,7 @@
             let acknowledgement = Acknowledgement {
                 shard,
                 epoch,
-                agents: self.agents.of_shard(shard),
+                agents: self.agents.shard_agents(shard),
             };
             self.send(entry, EntryMessage::Acknowledgement(acknowledgement));
         }
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Reports newly known agents of an owned shard, and once the moment at which
-    /// enough voters had acknowledged the ownership.
+    /// Reports newly known agents of an owned shard. The first report after enough
+    /// voters acknowledged the ownership also contains its own moment.
     fn check_acknowledged(&mut self, now: Now, shard: ShardId, agents: KnownAgents) {
         let Some(owned) = self.owned.get_mut(&shard) else {
             return;
@@ -223,7 +223,8 @@
             .push(MembershipAction::Send(entry.clone(), message));
     }
 
-    /// Returns the voters for an ownership of this entry; none with too few members.
+    /// Returns the voters for an ownership of this entry; none if there are fewer
+    /// than [`MIN_VOTERS`] members.
     fn voters(&self) -> Electorate {
         let members = self.table.iter().flat_map(|table| table.members.keys());
         let mut voters: Electorate = members.cloned().collect();
--- a/crates/decisions/src/membership/membership_machine.rs
+++ b/crates/decisions/src/membership/membership_machine.rs
@@ -42,7 +42,8 @@
     pub(super) table: Option<TableSnapshot>,
     pub(super) peers: Peers,
     pub(super) owned: IndexMap<ShardId, OwnedShard>,
-    /// Earlier electorates of claims that are not yet known to be recorded.
+    /// Claims that are not yet known to be recorded, each with the electorates of
+    /// earlier ownerships.
     pub(super) open_claims: IndexMap<(ShardId, Epoch), Vec<Electorate>>,
     pub(super) agents: AgentRuns,
     /// Newest known epoch of each shard.
@@ -50,7 +51,7 @@
     pub(super) is_reading: bool,
     pub(super) next_read_at: Option<Instant>,
     pub(super) read_began_at: Option<Instant>,
-    /// Writes without a result.
+    /// Writes whose result is not known yet.
     pub(super) open_writes: Vec<TableWrite>,
     pub(super) last_read_failed: bool,
     pub(super) confirm_requests: Vec<ConfirmRequest>,
--- a/crates/decisions/src/membership/messages.rs
+++ b/crates/decisions/src/membership/messages.rs
@@ -43,7 +43,7 @@
     AgentUp(AgentHello),
     /// The link from an agent closed.
     AgentDown(EndpointId, Incarnation),
-    /// A run of an agent departed; with the jobs of its records.
+    /// A run of an agent departed; the hashes name the jobs of its records.
     AgentDeparted(EndpointId, Incarnation, Vec<KeyHash>),
     /// A message from another entry arrived.
     FromEntry(EntryId, EntryMessage),
@@ -60,7 +60,7 @@
     Read,
     /// Write the table.
     Write(TableWrite),
-    /// This entry owns a shard from here on.
+    /// This entry became the owner of a shard.
     OwnershipBegan {
         /// The shard.
         shard: ShardId,
@@ -75,7 +75,8 @@
     Acknowledged {
         /// The shard.
         shard: ShardId,
-        /// When a majority of every earlier electorate had acknowledged; set once.
+        /// When a majority of every earlier electorate had acknowledged; set in only
+        /// one action of an ownership.
         at: Option<Instant>,
         /// Runs of the shard's agents that the acknowledging entry knows.
         agents: KnownAgents,
--- a/crates/decisions/src/membership/owned_shard.rs
+++ b/crates/decisions/src/membership/owned_shard.rs
@@ -13,7 +13,7 @@
     pub owner: ShardOwner,
     /// Voters of earlier ownerships that acknowledged this one.
     pub acknowledgements: Acknowledgements,
-    /// Whether enough of these voters did.
+    /// Whether a majority of every earlier electorate has acknowledged.
     pub acknowledged: bool,
     /// Voters in row writes of unknown outcome, each with the revision of the row
     /// that the write replaces.
--- a/crates/decisions/src/membership/votes.rs
+++ b/crates/decisions/src/membership/votes.rs
@@ -79,7 +79,7 @@
     }
 
     /// Answers the vote requests that arrived before the last successful read began
-    /// at `at`: a vote is sent where the read shows the requested epoch.
+    /// at `at`: a vote is sent if the read shows the requested epoch.
     pub(super) fn vote_from_read(&mut self, at: Instant) {
         let requests = std::mem::take(&mut self.pending_vote_requests);
         for pending in requests {
--- a/crates/decisions/src/timing.rs
+++ b/crates/decisions/src/timing.rs
@@ -20,8 +20,8 @@
 /// the tasks that were started there as lost.
 pub const AGENT_LOST_AFTER: Duration = Duration::from_secs(10);
 
-/// How long an agent counts an entry as alive after it sent the last probe that
-/// the entry answered.
+/// How long an agent counts an entry as alive, from the moment when the agent sent
+/// the last probe that the entry answered.
 ///
 /// A caller whose connection broke submits again 1,300 ms later at the
 /// earliest; by then the tasks of a dead entry must have been stopped.
@@ -41,9 +41,9 @@
 /// but a CPU quota per 100 ms period can suspend a worker for most of a period.
 pub const ORDER_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// How long an endpoint may take to answer a start or a stop, which it does not
-/// delay. This is half of the delay that a job of some 100 ms can afford, so
-/// that a job whose start got lost can still end in time.
+/// How long an endpoint may take to answer a start or a stop, neither of which waits
+/// at the endpoint. This is half of the delay that a job of some 100 ms can afford,
+/// so that a job whose start got lost can still end in time.
 pub const START_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// Longest wait of a long poll for ended runs while something runs: three such
@@ -83,8 +83,9 @@
 /// some of its connections keeps most of its work.
 pub const BROKEN_CONNECTION_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long an endpoint that fails nearly all runs gets no task after a failure.
-/// Each failure costs a job some 60 ms, and such an endpoint fails for seconds.
+/// Pause after a failed run at an endpoint that fails nearly all runs, before the
+/// endpoint gets another task. Each failure costs a job some 60 ms, and such an
+/// endpoint fails for seconds.
 pub const FAILING_PAUSE: Duration = Duration::from_millis(250);
 
 /// Pause after an endpoint refused a start for lack of room before the next
