--- a/crates/decisions/src/guard/endpoint_clock.rs
+++ b/crates/decisions/src/guard/endpoint_clock.rs
@@ -34,7 +34,7 @@
     /// A reading that was delayed on its way is behind the current estimate and
     /// is ignored, unless the stored reading is older than a second.
     pub fn update(&mut self, now: Instant, reading: EndpointTime) {
-        if reading > self.at(now)
+        if reading > self.earliest_time(now)
             || now.saturating_duration_since(self.received_at) > Duration::from_secs(1)
         {
             self.reading = reading;
@@ -44,7 +44,7 @@
 
     /// Returns a lower bound of the endpoint's clock at `now`.
     #[must_use]
-    pub fn at(&self, now: Instant) -> EndpointTime {
+    pub fn earliest_time(&self, now: Instant) -> EndpointTime {
         self.reading + now.saturating_duration_since(self.received_at)
     }
 
@@ -53,7 +53,7 @@
     pub fn extend_lease(&mut self, now: Instant, length: Duration) -> EndpointTime {
         let longest = length + length * CLOCK_RATE_ERROR_PERCENT / 100;
         self.leases_end_at = self.leases_end_at.max(Some(now + longest));
-        self.at(now) + length
+        self.earliest_time(now) + length
     }
 
     /// Returns when every requested lease is over, also on a slow clock; none
--- a/crates/decisions/src/guard/endpoint_state.rs
+++ b/crates/decisions/src/guard/endpoint_state.rs
@@ -46,13 +46,15 @@
     pub(crate) last_contact_at: Instant,
     /// Unanswered list orders.
     pub(crate) lists: ListsInFlight,
-    /// No list order is sent before this moment, after one was refused or broke.
+    /// Moment before which no list order is sent, because one was refused or its
+    /// connection broke.
     pub(crate) lists_paused_until: Option<Instant>,
     /// How many runs failed.
     pub(crate) failures: usize,
-    /// When a run failed last.
+    /// When a run last failed.
     pub(crate) failed_at: Option<Instant>,
-    /// No start is sent before this moment, after one was refused for lack of room.
+    /// Moment before which no start is sent, because one was refused for lack of
+    /// room.
     pub(crate) full_until: Option<Instant>,
 }
 
@@ -82,7 +84,8 @@
     }
 
     /// Returns how many tasks may be assigned to the endpoint now: one at a time
-    /// if it is suspect, none for a pause after each failure if it is failing.
+    /// if the endpoint is suspect, and none for `FAILING_PAUSE` after each failure
+    /// if it is failing.
     pub(crate) fn most_tasks(&self, now: Instant, is_idle: bool) -> u16 {
         if !self.health.is_suspect() {
             return u16::MAX;
@@ -92,8 +95,8 @@
         u16::from(is_idle && !must_pause)
     }
 
-    /// Returns the position of the entry, among `entries` of them, that may try a
-    /// failing endpoint; none where every entry may use the endpoint.
+    /// Returns the position, below `entries`, of the entry that may try a failing
+    /// endpoint now; none if every entry may use the endpoint.
     pub(crate) fn turn(&self, now: Instant, entries: usize) -> Option<usize> {
         let failed_at = self.failed_at.filter(|_| self.health.is_failing())?;
         let since = now.saturating_duration_since(failed_at).as_millis();
--- a/crates/decisions/src/guard/entry_side.rs
+++ b/crates/decisions/src/guard/entry_side.rs
@@ -144,12 +144,12 @@
             && !keys.is_empty()
         {
             let proven_at = state.proven_at.unwrap_or(now);
-            let note = DecisionEvent::EntryLost {
+            let event = DecisionEvent::EntryLost {
                 entry: entry.clone(),
                 tasks: keys.len(),
                 proof_age_ms: millis(now.saturating_duration_since(proven_at)),
             };
-            self.record_decision(note);
+            self.record_decision(event);
         }
         for key in keys {
             self.stop_run(now, &key, EndKind::Stopped, "entry-lost");
--- a/crates/decisions/src/guard/entry_state.rs
+++ b/crates/decisions/src/guard/entry_state.rs
@@ -37,7 +37,8 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) zone: ZoneId,
     pub(crate) is_linked: bool,
-    /// The entry was alive at this moment or later.
+    /// Latest moment at which the entry is known to have been alive; none
+    /// before the first proof.
     pub(crate) proven_at: Option<Instant>,
     /// Highest id of the assignments that were received.
     pub(crate) last_assignment: AssignmentId,
@@ -71,11 +72,12 @@
         self.proven_at.is_some_and(|at| now <= at + limit)
     }
 
-    /// Returns when an update without ended tasks is due; none where the room
-    /// changed too little to matter.
+    /// Returns when an update without ended tasks is due; none if the room changed
+    /// too little to matter.
     ///
-    /// A change matters from a quarter of the free room on: with little room that
-    /// is one job, and with much room a smaller change affects no placement.
+    /// A change matters if it is at least a quarter of the free room. With little
+    /// room, a quarter is one job; with much room, a smaller change affects no
+    /// placement.
     pub(crate) fn report_due_at(
         &self,
         now: Instant,
--- a/crates/decisions/src/guard/guard_machine.rs
+++ b/crates/decisions/src/guard/guard_machine.rs
@@ -155,8 +155,8 @@
         self.end_lapsed_runs(now);
     }
 
-    pub(super) fn record_decision(&mut self, note: DecisionEvent) {
-        self.actions.push(GuardAction::Record(note));
+    pub(super) fn record_decision(&mut self, event: DecisionEvent) {
+        self.actions.push(GuardAction::Record(event));
     }
 
     pub(super) fn mark_stale(&mut self) {
--- a/crates/decisions/src/guard/health.rs
+++ b/crates/decisions/src/guard/health.rs
@@ -9,8 +9,8 @@
 const SUSPECT_SHARE: f32 = 0.3;
 
 /// Failure share above which an endpoint is tried only after a pause: reached by
-/// five failures in a row after successes, which tasks that fail on every
-/// endpoint hardly cause.
+/// five failures in a row after successes. Tasks that fail on every endpoint
+/// hardly ever cause so many.
 const FAILING_SHARE: f32 = 0.6;
 
 /// Weight of the newest run time in the moving average of the slowness.
--- a/crates/decisions/src/guard/lists.rs
+++ b/crates/decisions/src/guard/lists.rs
@@ -41,7 +41,7 @@
                 self.fence_late_orders(now);
             }
             Answer::Refused(..) => endpoint.lists_paused_until = Some(now + REFUSED_PAUSE),
-            // The pause counts from the send time: it is over after a time-out.
+            // The pause counts from the send time, so none is left after a timeout.
             Answer::Unknown => {
                 endpoint.lists_paused_until = Some(order.sent_at + BROKEN_CONNECTION_PAUSE);
             }
@@ -49,7 +49,8 @@
     }
 
     /// Sends a list with a higher token to a later incarnation that has not
-    /// announced itself, so that it refuses delayed orders to the earlier one.
+    /// announced itself. That incarnation then refuses delayed orders that were
+    /// sent to the earlier one.
     fn fence_late_orders(&mut self, now: Instant) {
         let Some(endpoint) = &mut self.endpoint else {
             return;
@@ -62,7 +63,7 @@
         self.send_list_order(now, Duration::ZERO);
     }
 
-    pub(super) fn apply_list(&mut self, now: Instant, asked_at: Instant, reply: &ListReply) {
+    pub(super) fn apply_list(&mut self, now: Instant, requested_at: Instant, reply: &ListReply) {
         for end in &reply.ended {
             self.apply_end(now, end);
         }
@@ -78,7 +79,7 @@
                 None => self.send_foreign_stop_order(now, listed.task.clone(), listed.run),
             }
         }
-        self.finish_unlisted(now, asked_at, reply);
+        self.finish_unlisted(now, requested_at, reply);
         self.stop_stalled(now);
         let is_clean = reply
             .running
@@ -123,14 +124,19 @@
         self.finish_run(now, &key, kind);
     }
 
-    /// Finishes runs that a list, requested after their last known progress or
-    /// answered stop, no longer shows.
-    pub(super) fn finish_unlisted(&mut self, now: Instant, asked_at: Instant, reply: &ListReply) {
+    /// Finishes the runs that are missing from a list. A run counts only if the list
+    /// was requested after the run's last known progress or its answered stop.
+    pub(super) fn finish_unlisted(
+        &mut self,
+        now: Instant,
+        requested_at: Instant,
+        reply: &ListReply,
+    ) {
         let is_listed = |number| reply.running.iter().any(|listed| listed.run == number);
         let unlisted = self.runs.keys_where(|run| match run.phase {
-            Phase::StopAnswered(at) => at < asked_at && !is_listed(run.number),
+            Phase::StopAnswered(at) => at < requested_at && !is_listed(run.number),
             Phase::Running => {
-                run.progressed_at.is_some_and(|at| at < asked_at) && !is_listed(run.number)
+                run.progressed_at.is_some_and(|at| at < requested_at) && !is_listed(run.number)
             }
             _ => false,
         });
--- a/crates/decisions/src/guard/messages.rs
+++ b/crates/decisions/src/guard/messages.rs
@@ -15,7 +15,7 @@
 /// Token of an order; an endpoint that has received a higher token refuses it.
 pub type FencingToken = u64;
 
-/// Position of an end in the list of an endpoint's ends, from 1.
+/// Position in an endpoint's list of ended runs, from 1.
 pub type EndNumber = u64;
 
 /// State that an endpoint announces.
@@ -42,7 +42,7 @@
     LinkUp(EntryId, Incarnation, ZoneId),
     /// The link to an entry closed.
     LinkDown(EntryId),
-    /// An entry was alive at this moment or later.
+    /// A probe proved that an entry was alive at this moment or later.
     Proven(EntryId, Instant),
     /// An entry assigns tasks.
     Assign(EntryId, Assignment),
@@ -102,7 +102,7 @@
     Done(EndpointTime, T),
     /// The order was not carried out; with the endpoint's clock if known.
     Refused(Option<EndpointTime>, OrderFault),
-    /// No answer arrived: the order may have been carried out or may still be.
+    /// No answer arrived; the order may have been carried out, or may be later.
     Unknown,
 }
 
@@ -139,7 +139,7 @@
     pub task: TaskId,
     /// Number of the start.
     pub run: RunNumber,
-    /// How it ended.
+    /// How the run ended.
     pub how: RunEnd,
 }
 
@@ -155,9 +155,9 @@
 /// Order to start a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartOrder {
-    /// The endpoint that is meant.
+    /// The endpoint that receives the order.
     pub endpoint: EndpointId,
-    /// Run of the endpoint that is meant.
+    /// Incarnation of the endpoint that receives the order.
     pub incarnation: Incarnation,
     /// The task.
     pub task: TaskId,
@@ -167,35 +167,35 @@
     pub payload: Arc<str>,
     /// End of the lease, on the endpoint's clock.
     pub until: EndpointTime,
-    /// Token of the agent.
+    /// Fencing token of the agent.
     pub token: FencingToken,
-    /// Moment after which the answer is given up.
+    /// Moment after which the agent no longer waits for the answer.
     pub answer_by: Instant,
 }
 
 /// Order to stop a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StopOrder {
-    /// The endpoint that is meant.
+    /// The endpoint that receives the order.
     pub endpoint: EndpointId,
-    /// Run of the endpoint that is meant.
+    /// Incarnation of the endpoint that receives the order.
     pub incarnation: Incarnation,
     /// The task.
     pub task: TaskId,
     /// Number of the start.
     pub run: RunNumber,
-    /// Token of the agent.
+    /// Fencing token of the agent.
     pub token: FencingToken,
-    /// Moment after which the answer is given up.
+    /// Moment after which the agent no longer waits for the answer.
     pub answer_by: Instant,
 }
 
 /// Order to list running and ended runs, which also renews the lease.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListOrder {
-    /// The endpoint that is meant.
+    /// The endpoint that receives the order.
     pub endpoint: EndpointId,
-    /// Run of the endpoint that is meant.
+    /// Incarnation of the endpoint that receives the order.
     pub incarnation: Incarnation,
     /// End of the lease, on the endpoint's clock; none leaves the lease unchanged.
     pub until: Option<EndpointTime>,
@@ -203,11 +203,11 @@
     pub last_processed_end: EndNumber,
     /// How long the endpoint may wait for an end before it answers.
     pub wait: Duration,
-    /// Token of the agent.
+    /// Fencing token of the agent.
     pub token: FencingToken,
     /// When the order was made.
     pub sent_at: Instant,
-    /// Moment after which the answer is given up.
+    /// Moment after which the agent no longer waits for the answer.
     pub answer_by: Instant,
 }
 
--- a/crates/decisions/src/guard/run.rs
+++ b/crates/decisions/src/guard/run.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct RunKey {
     pub(crate) entry: EntryId,
-    /// Incarnation of the entry, since each counts its assignments from the start.
+    /// Incarnation of the entry; each one numbers its assignments anew.
     pub(crate) incarnation: Incarnation,
     pub(crate) assignment: AssignmentId,
     pub(crate) at: TaskPosition,
@@ -57,7 +57,7 @@
     pub(crate) progressed_at: Option<Instant>,
     /// When the stop order was last sent.
     pub(crate) stop_sent_at: Option<Instant>,
-    /// When a stop that was refused or broke is sent again.
+    /// When a stop is sent again that was refused or whose connection broke.
     pub(crate) resend_stop_at: Option<Instant>,
     /// Kind of end to report once the run is no longer listed.
     pub(crate) end_kind: EndKind,
--- a/crates/decisions/src/guard/runs.rs
+++ b/crates/decisions/src/guard/runs.rs
@@ -101,7 +101,7 @@
     }
 
     /// Whether another run of the same task may hold room at the endpoint.
-    pub(crate) fn is_elsewhere(&self, task: &TaskId, key: &RunKey) -> bool {
+    pub(crate) fn has_other_run(&self, task: &TaskId, key: &RunKey) -> bool {
         self.by_key
             .values()
             .any(|run| run.task == *task && run.key != *key && run.is_at_endpoint())
--- a/crates/decisions/src/guard/starts.rs
+++ b/crates/decisions/src/guard/starts.rs
@@ -42,12 +42,12 @@
             }
             Answer::Refused(_, fault) => {
                 self.record_refused_start(&key, fault.name());
-                self.start_refused(now, &key, *fault);
+                self.handle_start_refusal(now, &key, *fault);
             }
         }
     }
 
-    pub(super) fn start_refused(&mut self, now: Instant, key: &RunKey, fault: OrderFault) {
+    pub(super) fn handle_start_refusal(&mut self, now: Instant, key: &RunKey, fault: OrderFault) {
         match fault {
             OrderFault::StaleToken => self.token += NUMBER_STEP,
             OrderFault::OldRun => self.next_run += NUMBER_STEP,
@@ -86,7 +86,7 @@
         }
         let mut free = endpoint.info.total.minus(self.runs.held_room());
         for key in self.runs.waiting() {
-            if let Some(need) = self.startable(now, &key, free) {
+            if let Some(need) = self.need_if_startable(now, &key, free) {
                 self.start_run(now, &key, free);
                 free = free.minus(need);
             }
@@ -94,7 +94,7 @@
     }
 
     /// Returns the room that a waiting task needs; none if it may not start now.
-    pub(super) fn startable(
+    pub(super) fn need_if_startable(
         &mut self,
         now: Instant,
         key: &RunKey,
@@ -106,7 +106,7 @@
         }
         let run = self.runs.get_mut(key)?;
         let (task, need) = (run.task.clone(), run.assigned.need);
-        (free.fits(need) && !self.runs.is_elsewhere(&task, key)).then_some(need)
+        (free.fits(need) && !self.runs.has_other_run(&task, key)).then_some(need)
     }
 
     pub(super) fn start_run(&mut self, now: Instant, key: &RunKey, free: Resources) {
@@ -128,7 +128,7 @@
             token: self.token,
             answer_by: now + START_TIMEOUT,
         }));
-        let note = DecisionEvent::TaskStarted {
+        let event = DecisionEvent::TaskStarted {
             job: run.task.job.clone(),
             task: run.task.at,
             run: number,
@@ -137,18 +137,18 @@
             waited_ms: millis(now.saturating_duration_since(run.assigned_at)),
             free_cpu_millis: free.cpu_millis,
         };
-        self.record_decision(note);
+        self.record_decision(event);
     }
 
     pub(super) fn record_refused_start(&mut self, key: &RunKey, reason: &'static str) {
         if let Some(run) = self.runs.get_mut(key) {
-            let note = DecisionEvent::StartRefused {
+            let event = DecisionEvent::StartRefused {
                 job: run.task.job.clone(),
                 task: run.task.at,
                 run: run.number,
                 reason: reason.into(),
             };
-            self.record_decision(note);
+            self.record_decision(event);
         }
     }
 }
--- a/crates/decisions/src/guard/stops.rs
+++ b/crates/decisions/src/guard/stops.rs
@@ -66,14 +66,14 @@
             Phase::Starting | Phase::Running => {
                 run.phase = Phase::Stopping;
                 run.end_kind = kind;
-                let note = DecisionEvent::TaskStopped {
+                let event = DecisionEvent::TaskStopped {
                     job: run.task.job.clone(),
                     task: run.task.at,
                     run: run.number,
                     reason: reason.into(),
                     percent: run.percent,
                 };
-                self.record_decision(note);
+                self.record_decision(event);
                 self.send_stop_order(now, key);
             }
             Phase::Stopping | Phase::StopAnswered(_) => {}
