--- a/crates/decisions/tests/best_effort_site/endpoint.rs
+++ b/crates/decisions/tests/best_effort_site/endpoint.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 struct Running {
     task: TaskId,
-    began: Millis,
+    started_at: Millis,
     work: Millis,
     stops_at: Option<Millis>,
 }
@@ -69,7 +69,7 @@
     /// Ends the process and all its runs.
     pub fn crash(&mut self, judge: &mut Judge) {
         for (run, running) in std::mem::take(&mut self.runs) {
-            judge.ended(&running.task, self.number, run, false);
+            judge.run_ended(&running.task, self.number, run, false);
         }
         self.is_up = false;
     }
@@ -115,7 +115,7 @@
                 RunEnd::Lapsed
             } else if running.stops_at.is_some_and(|stops_at| stops_at <= at) {
                 RunEnd::Stopped
-            } else if !is_stalled && running.began + running.work <= at {
+            } else if !is_stalled && running.started_at + running.work <= at {
                 if is_failing {
                     RunEnd::Failed
                 } else {
@@ -135,7 +135,7 @@
         let Some(running) = self.runs.shift_remove(&run) else {
             return;
         };
-        judge.ended(&running.task, self.number, run, how == RunEnd::Done);
+        judge.run_ended(&running.task, self.number, run, how == RunEnd::Done);
         let floor = self.floors.entry(running.task.clone()).or_default();
         *floor = (*floor).max(run);
         let number = u64::try_from(self.ends.len()).unwrap() + 1;
@@ -177,10 +177,10 @@
         if held + TASK_CPU > CPU {
             return self.refused(at, OrderFault::NoRoom);
         }
-        judge.began(at, &order.task, self.number, order.run);
+        judge.run_started(at, &order.task, self.number, order.run);
         let running = Running {
             task: order.task.clone(),
-            began: at,
+            started_at: at,
             work,
             stops_at: None,
         };
@@ -249,7 +249,7 @@
         if at < self.stalls_until {
             return 1;
         }
-        let share = (at - running.began) * 100 / running.work.max(1);
+        let share = (at - running.started_at) * 100 / running.work.max(1);
         u32::try_from(share.min(99)).unwrap()
     }
 
--- a/crates/decisions/tests/best_effort_site/events.rs
+++ b/crates/decisions/tests/best_effort_site/events.rs
@@ -25,7 +25,7 @@
     Announce(usize),
     Probe(usize, usize),
     Reconnect(usize, usize, u64),
-    /// Hands an input to one run of a process; the number is the run's.
+    /// Passes an input to one run of a process; the number identifies the run.
     Process(Node, u64, Input),
     /// An order of a run of an agent reaches the endpoint; if the flag is false,
     /// the answer is lost.
--- a/crates/decisions/tests/best_effort_site/faults.rs
+++ b/crates/decisions/tests/best_effort_site/faults.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Cuts a link for a time; at 0 the link is only reset.
+    /// Cuts a link for `length`; a length of 0 only resets the link.
     pub(super) fn cut(&mut self, agent: usize, entry: usize, length: Millis) {
         self.trace(&("fault cut", agent, entry, length));
         let link = &mut self.links[agent][entry];
--- a/crates/decisions/tests/best_effort_site/judge.rs
+++ b/crates/decisions/tests/best_effort_site/judge.rs
@@ -1,4 +1,4 @@
-//! Checks what must hold for callers and endpoints.
+//! Checks the guarantees to callers, and the starts at endpoints.
 
 use {
     super::Millis,
@@ -47,7 +47,7 @@
     }
 
     /// Records the start of a run.
-    pub fn began(&mut self, at: Millis, task: &TaskId, endpoint: usize, run: u64) {
+    pub fn run_started(&mut self, at: Millis, task: &TaskId, endpoint: usize, run: u64) {
         self.started.insert(task.job.clone());
         let other = self.running.insert(task.clone(), (endpoint, run));
         assert_eq!(
@@ -57,7 +57,7 @@
     }
 
     /// Records the end of a run, or of its endpoint.
-    pub fn ended(&mut self, task: &TaskId, endpoint: usize, run: u64, is_done: bool) {
+    pub fn run_ended(&mut self, task: &TaskId, endpoint: usize, run: u64, is_done: bool) {
         if self.running.get(task) == Some(&(endpoint, run)) {
             self.running.swap_remove(task);
         }
--- a/crates/decisions/tests/fake_site/judge.rs
+++ b/crates/decisions/tests/fake_site/judge.rs
@@ -6,7 +6,7 @@
     indexmap::{IndexMap, IndexSet},
 };
 
-/// A caller's request, as the judge needs it.
+/// A caller's request, with the details that the judge checks.
 #[derive(Clone, Debug)]
 pub struct JudgedRequest {
     /// The job.
@@ -65,8 +65,8 @@
 
     /// Checks the reply to a submission; `is_last` says that no other caller waits
     /// for the job.
-    pub fn replied(&mut self, asked: &JudgedRequest, reply: &Reply, is_last: bool) {
-        let (job, total) = (&asked.job, asked.total);
+    pub fn replied(&mut self, request: &JudgedRequest, reply: &Reply, is_last: bool) {
+        let (job, total) = (&request.job, request.total);
         let name = match reply {
             Reply::Answered(_) => "answered",
             Reply::Refused(_) => "refused",
@@ -79,17 +79,17 @@
         match reply {
             Reply::Answered(answer) => {
                 let outcomes = answer.tasks.iter().map(|task| task.outcome.clone());
-                self.answered(asked, outcomes.collect(), is_last);
+                self.answered(request, outcomes.collect(), is_last);
             }
             Reply::Refused(refusal) => {
                 let count = self.submissions.get(job).copied();
                 let is_alone =
-                    asked.submissions_if_alone.is_some() && asked.submissions_if_alone == count;
+                    request.submissions_if_alone.is_some() && request.submissions_if_alone == count;
                 for task in (0..total).map(|index| job.task(index)) {
                     let started = self.starts.get(&task);
                     // A task that started after this submission may belong to another
                     // submission of the key.
-                    let ran = started.is_some_and(|at| is_alone || *at < asked.at);
+                    let ran = started.is_some_and(|at| is_alone || *at < request.at);
                     assert!(!ran, "{task} ran but was refused for {refusal:?}");
                 }
             }
@@ -98,8 +98,8 @@
         }
     }
 
-    fn answered(&mut self, asked: &JudgedRequest, outcomes: Vec<TaskOutcome>, is_last: bool) {
-        let (job, digest, total) = (&asked.job, asked.digest, asked.total);
+    fn answered(&mut self, request: &JudgedRequest, outcomes: Vec<TaskOutcome>, is_last: bool) {
+        let (job, digest, total) = (&request.job, request.digest, request.total);
         assert_eq!(
             outcomes.len(),
             usize::from(total),
--- a/crates/decisions/tests/fake_site/links.rs
+++ b/crates/decisions/tests/fake_site/links.rs
@@ -11,9 +11,9 @@
 /// One link between two processes.
 #[derive(Debug)]
 pub struct FakeLink {
-    /// The process that opened it, and its run.
+    /// The process that opened the link, and its run.
     pub from: (Node, u64),
-    /// The process that accepted it, and its run.
+    /// The process that accepted the link, and its run.
     pub to: (Node, u64),
     /// Longest delay of a message, in milliseconds.
     pub delay: Millis,
--- a/crates/decisions/tests/fake_site/site.rs
+++ b/crates/decisions/tests/fake_site/site.rs
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 struct Caller {
     entry: usize,
-    asked: JudgedRequest,
+    judged_request: JudgedRequest,
     judged: bool,
 }
 
@@ -200,7 +200,7 @@
     pub fn waiting_callers(&self) -> Vec<String> {
         self.callers
             .values()
-            .map(|caller| format!("{} at entry-{}", caller.asked.job, caller.entry))
+            .map(|caller| format!("{} at entry-{}", caller.judged_request.job, caller.entry))
             .collect()
     }
 
@@ -341,10 +341,11 @@
                     if let Some(caller) = self.callers.swap_remove(&waiter)
                         && caller.judged
                     {
-                        let asked = caller.asked;
+                        let judged_request = caller.judged_request;
                         let mut others = self.callers.values();
-                        let is_last = others.all(|other| other.asked.job != asked.job);
-                        self.judge.replied(&asked, &reply, is_last);
+                        let is_last =
+                            others.all(|other| other.judged_request.job != judged_request.job);
+                        self.judge.replied(&judged_request, &reply, is_last);
                     }
                 }
             }
@@ -596,9 +597,12 @@
         self.next_waiter += 1;
         let waiter = self.next_waiter;
         let judged = matches!(request, Request::Submit(_));
-        let is_open = self.callers.values().any(|caller| caller.asked.job == job);
+        let is_open = self
+            .callers
+            .values()
+            .any(|caller| caller.judged_request.job == job);
         let count = judged.then(|| self.judge.submitted(&job));
-        let asked = JudgedRequest {
+        let judged_request = JudgedRequest {
             job,
             digest,
             total,
@@ -607,7 +611,7 @@
         };
         let caller = Caller {
             entry: number,
-            asked,
+            judged_request,
             judged,
         };
         self.callers.insert(waiter, caller);
--- a/crates/decisions/tests/guard.rs
+++ b/crates/decisions/tests/guard.rs
@@ -158,21 +158,24 @@
     let mut guard = GuardMachine::new(GuardConf { first_number: 1 });
     let now = |millis| later(begin, millis);
     let mut orders = lists(guard.handle(now(0), GuardInput::Announced(announcement())));
-    let mut asked = orders.len();
+    let mut list_count = orders.len();
     for millis in (0..1_000).step_by(10) {
         while let Some(order) = orders.pop() {
             let refused = Answer::Refused(None, OrderFault::Unhealthy);
             let input = GuardInput::Listed(order.incarnation, order, refused);
             orders.extend(lists(guard.handle(now(millis), input)));
-            asked += orders.len();
-            assert!(asked <= MAX_LISTS, "{asked} lists within {millis} ms");
+            list_count += orders.len();
+            assert!(
+                list_count <= MAX_LISTS,
+                "{list_count} lists within {millis} ms"
+            );
         }
         orders.extend(lists(guard.handle(now(millis), GuardInput::Tick)));
-        asked += orders.len();
+        list_count += orders.len();
     }
     assert!(
-        (5..=MAX_LISTS).contains(&asked),
-        "{asked} lists in a second"
+        (5..=MAX_LISTS).contains(&list_count),
+        "{list_count} lists in a second"
     );
 }
 
@@ -227,14 +230,14 @@
     let clean = Answer::Done(Duration::from_secs(1), ListReply::default());
     let mut actions = guard.handle(now(0), GuardInput::Listed(1, order, clean));
     guard.handle(now(0), GuardInput::LinkUp(entry.clone(), 1, "zone".into()));
-    let (mut orders, mut told_room) = (0, 0);
+    let (mut orders, mut reported_room) = (0, 0);
     for millis in 1..600 {
         guard.handle(
             now(millis),
             GuardInput::Proven(entry.clone(), now(millis).instant),
         );
-        if told_room > 0 {
-            told_room -= 1;
+        if reported_room > 0 {
+            reported_room -= 1;
             let job = format!("{millis:016x}");
             let assigned = GuardInput::Assign(entry.clone(), assignment(millis, &job));
             actions.extend(guard.handle(now(millis), assigned));
@@ -242,7 +245,7 @@
         actions.extend(guard.handle(now(millis), GuardInput::Tick));
         while let Some(action) = actions.pop() {
             if let GuardAction::Send(_, GuardMessage::Update(update)) = &action {
-                told_room = update.most_tasks;
+                reported_room = update.most_tasks;
             }
             if let Some(input) = failure.input(action) {
                 orders += 1;
@@ -262,7 +265,7 @@
 struct FailingEndpoint {
     ended: Vec<ListedEnd>,
     polls: Vec<ListOrder>,
-    told_room: [u16; 3],
+    reported_room: [u16; 3],
 }
 
 impl FailingEndpoint {
@@ -283,7 +286,7 @@
             GuardAction::List(order) => self.polls.push(order),
             GuardAction::Send(entry, GuardMessage::Update(update)) => {
                 let number: usize = entry.parse().expect("entries have numbers");
-                self.told_room[number] = update.most_tasks;
+                self.reported_room[number] = update.most_tasks;
             }
             _ => {}
         }
@@ -323,8 +326,8 @@
         for (number, entry) in entries.iter().enumerate() {
             let proven = GuardInput::Proven(entry.clone(), now(millis).instant);
             actions.extend(guard.handle(now(millis), proven));
-            if endpoint.told_room[number] > 0 {
-                endpoint.told_room[number] -= 1;
+            if endpoint.reported_room[number] > 0 {
+                endpoint.reported_room[number] -= 1;
                 let job = format!("{millis:08x}{number:08x}");
                 let assigned = GuardInput::Assign(entry.clone(), assignment(millis, &job));
                 actions.extend(guard.handle(now(millis), assigned));
--- a/crates/decisions/tests/owner_regressions.rs
+++ b/crates/decisions/tests/owner_regressions.rs
@@ -282,9 +282,9 @@
 #[rstest]
 fn a_query_waits_for_the_records_of_every_agent(mut owner: Owner) {
     owner.link(0, 1, &[&job()]);
-    let ask = Request::Query(job());
-    let asked = owner.handle(OwnerInput::Request("entry-1".into(), ask));
-    assert_eq!(asked, [], "another agent may hold records");
+    let query = Request::Query(job());
+    let actions = owner.handle(OwnerInput::Request("entry-1".into(), query));
+    assert_eq!(actions, [], "another agent may hold records");
     let submit = submission(owner.now, 2);
     owner.submit(submit);
     let lookups = owner.link(1, 1, &[&job()]);
@@ -299,8 +299,8 @@
     owner.link(1, 1, &[]);
     let submit = submission(owner.now, 1);
     owner.submit(submit);
-    let ask = Request::Query(job());
-    owner.handle(OwnerInput::Request("entry-1".into(), ask));
+    let query = Request::Query(job());
+    owner.handle(OwnerInput::Request("entry-1".into(), query));
     let record = TaskRecord {
         task: job().task(0),
         digest: 8,
--- a/crates/decisions/tests/placement.rs
+++ b/crates/decisions/tests/placement.rs
@@ -55,12 +55,12 @@
         ..Resync::default()
     };
     let up = DispatchInput::AgentUp(AGENT.into(), 1, resync);
-    entry.at(Duration::ZERO, up);
+    entry.handle_after(Duration::ZERO, up);
     entry
 }
 
 impl Entry {
-    fn at(&mut self, after: Duration, input: DispatchInput) -> Vec<DispatchAction> {
+    fn handle_after(&mut self, after: Duration, input: DispatchInput) -> Vec<DispatchAction> {
         let now = Now {
             instant: self.begin + after,
             wall: SystemTime::UNIX_EPOCH + after,
@@ -90,7 +90,7 @@
             job: Rc::new(job),
             deadline: self.begin + Duration::from_secs(2),
         };
-        self.at(after, DispatchInput::Submit(submission))
+        self.handle_after(after, DispatchInput::Submit(submission))
     }
 
     /// Reports room for `free` tasks at the endpoint, and the tasks that ended.
@@ -102,7 +102,7 @@
             last_assignment: u64::MAX,
             ends,
         };
-        self.at(after, DispatchInput::Update(AGENT.into(), update))
+        self.handle_after(after, DispatchInput::Update(AGENT.into(), update))
     }
 }
 
@@ -141,10 +141,10 @@
 }
 
 /// Reports the tasks of an assignment as done, the last `undone` as not started.
-fn ends(of: &Assignment, undone: usize) -> Vec<TaskEnd> {
-    let done = of.tasks.len() - undone;
+fn ends(assignment: &Assignment, undone: usize) -> Vec<TaskEnd> {
+    let done = assignment.tasks.len() - undone;
     let end = |(number, task): (usize, &chestnutrun_types::AssignedTask)| TaskEnd {
-        assignment: of.id,
+        assignment: assignment.id,
         at: task.at,
         run: 1,
         kind: if number < done {
@@ -154,13 +154,13 @@
         },
         ran: ESTIMATE,
     };
-    of.tasks.iter().enumerate().map(end).collect()
+    assignment.tasks.iter().enumerate().map(end).collect()
 }
 
 #[rstest]
 #[case::nearly_done(1, 1)]
 #[case::hardly_begun(4, 2)]
-fn the_rest_of_a_late_job_goes_first_only_where_it_is_small(
+fn the_rest_of_a_late_job_goes_first_only_if_it_is_small(
     mut entry: Entry,
     #[case] undone: usize,
     #[case] first: u64,
--- a/crates/decisions/tests/policy.rs
+++ b/crates/decisions/tests/policy.rs
@@ -150,7 +150,7 @@
 }
 
 #[rstest]
-fn long_tasks_take_every_slot_where_nothing_short_comes() {
+fn long_tasks_use_every_slot_if_no_short_task_arrives() {
     let mut bench = Bench::new(8, &[open("a")]);
     bench.run("a", "check", SHORT);
     bench.advance(Duration::from_mins(1));
@@ -267,7 +267,7 @@
 }
 
 #[rstest]
-fn what_is_late_or_removed_does_not_start() {
+fn late_or_removed_tasks_do_not_start() {
     let mut bench = Bench::new(8, &[open("a")]);
     let removed = bench.submit("a", "check", SHORT);
     assert!(bench.policy.remove(&removed).is_some());
