--- a/crates/dispatch/src/agent_loop.rs
+++ b/crates/dispatch/src/agent_loop.rs
@@ -260,7 +260,7 @@
                 self.dialers.dial_members(Now::read().instant, &members);
             }
             DirectoryEvent::Reachable(is_up) => self.recorder.record_dependency("directory", is_up),
-            DirectoryEvent::Note(note) => self.recorder.record(Now::read(), note),
+            DirectoryEvent::Note(event) => self.recorder.record(Now::read(), event),
             DirectoryEvent::Routing(table) => self.update_routing(table, "directory"),
         }
     }
@@ -369,7 +369,7 @@
 
     fn run_action(&mut self, action: GuardAction) {
         match action {
-            GuardAction::Record(note) => self.recorder.record(Now::read(), note),
+            GuardAction::Record(event) => self.recorder.record(Now::read(), event),
             GuardAction::Send(entry, message) => {
                 if let Some(id) = self.link_by_entry.get(&entry) {
                     self.send(*id, to_wire(message));
--- a/crates/dispatch/src/caller_desk.rs
+++ b/crates/dispatch/src/caller_desk.rs
@@ -100,7 +100,7 @@
         self.is_closing.get()
     }
 
-    /// Has all further responses close their connections.
+    /// Makes all further responses close their connections.
     pub(crate) fn start_closing(&self) {
         self.is_closing.set(true);
     }
--- a/crates/dispatch/src/directory.rs
+++ b/crates/dispatch/src/directory.rs
@@ -9,7 +9,7 @@
 /// A boxed future that runs on the thread of the loop.
 pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// What a directory reports to a loop.
+/// An event that a directory sends to a loop.
 #[derive(Clone, Debug)]
 pub enum DirectoryEvent {
     /// A version of the routing table was read.
--- a/crates/dispatch/src/entry_dialers.rs
+++ b/crates/dispatch/src/entry_dialers.rs
@@ -14,8 +14,8 @@
     tokio::sync::mpsc::Sender,
 };
 
-/// How long an address is dialed without success. It is longer than the restart
-/// of an entry and than most network partitions.
+/// How long an address is dialed without success: longer than an entry takes to
+/// restart and than most network partitions last.
 const DIAL_LIMIT: Duration = Duration::from_secs(20);
 
 /// Timing of links that this process opened: three probes within the time after
--- a/crates/dispatch/src/entry_loop.rs
+++ b/crates/dispatch/src/entry_loop.rs
@@ -278,12 +278,12 @@
             }
             CallerEvent::RouteNotFound(host, path) => {
                 let routing_version = self.routing.version();
-                let note = DecisionEvent::RouteNotFound {
+                let event = DecisionEvent::RouteNotFound {
                     host,
                     path,
                     routing_version,
                 };
-                self.recorder.record(Now::read(), note);
+                self.recorder.record(Now::read(), event);
             }
             CallerEvent::CountWaiting(service, reply) => {
                 let _ = reply.send(self.dispatcher.waiting(&service));
@@ -323,7 +323,7 @@
                     .record_directory(Now::read().instant, is_reachable);
                 self.recorder.record_dependency("directory", is_reachable);
             }
-            DirectoryEvent::Note(note) => self.recorder.record(Now::read(), note),
+            DirectoryEvent::Note(event) => self.recorder.record(Now::read(), event),
         }
     }
 
@@ -366,7 +366,7 @@
             }
             PeerName::Accepted(Hello::Agent(hello)) => {
                 log::warn!(
-                    "closed the link of agent {}: it belongs to a site with shard owners",
+                    "closed the link of agent {}: the agent belongs to a site with shard owners",
                     hello.endpoint
                 );
                 link.close();
@@ -463,7 +463,7 @@
 
     fn run_action(&mut self, action: DispatchAction) {
         match action {
-            DispatchAction::Record(note) => self.recorder.record(Now::read(), note),
+            DispatchAction::Record(event) => self.recorder.record(Now::read(), event),
             DispatchAction::Answer(caller, _, outcome) => {
                 if let Some(reply) = self.callers.swap_remove(&caller) {
                     // Sending fails if the caller disconnected.
--- a/crates/dispatch/src/recorder.rs
+++ b/crates/dispatch/src/recorder.rs
@@ -22,8 +22,8 @@
 }
 
 impl Recorder {
-    /// Creates the recorder of a process; one without metrics if they cannot be set
-    /// up.
+    /// Creates the recorder of a process. If the metrics cannot be set up, it only
+    /// writes the log.
     pub(crate) fn new(process: Arc<str>) -> Self {
         let metrics = DispatchMetrics::new();
         if let Err(error) = &metrics {
@@ -37,11 +37,11 @@
     }
 
     /// Logs and counts a decision.
-    pub(crate) fn record(&mut self, now: Now, note: DecisionEvent) {
+    pub(crate) fn record(&mut self, now: Now, event: DecisionEvent) {
         if let Some(metrics) = &mut self.metrics {
-            metrics.count(&note);
+            metrics.count(&event);
         }
-        self.log.add(now, note);
+        self.log.add(now, event);
     }
 
     /// Records an event of the process itself, such as its start; `held` is the
@@ -59,12 +59,12 @@
         source: &'static str,
     ) {
         let source = source.into();
-        let note = DecisionEvent::RoutingInForce {
+        let event = DecisionEvent::RoutingInForce {
             version,
             replaced,
             source,
         };
-        self.record(Now::read(), note);
+        self.record(Now::read(), event);
     }
 
     /// Records that a dependency was lost or is available again.
--- a/crates/dispatch/src/reload.rs
+++ b/crates/dispatch/src/reload.rs
@@ -19,7 +19,7 @@
     /// Reads and checks the file.
     ///
     /// # Errors
-    /// Returns what is wrong with the file; the process then keeps its settings.
+    /// Returns a message if the file is invalid; the process then keeps its settings.
     fn reload(&self) -> Result<ReloadedSettings, String>;
 }
 
--- a/crates/dispatch/src/routing_sync.rs
+++ b/crates/dispatch/src/routing_sync.rs
@@ -21,7 +21,7 @@
 }
 
 impl RoutingSync {
-    /// Records the version that a peer reported; `own` is the version here.
+    /// Records the version that a peer reported; `own` is this process's version.
     pub(crate) fn record_version(
         &mut self,
         now: Instant,
