--- a/crates/types/src/answer.rs
+++ b/crates/types/src/answer.rs
@@ -5,7 +5,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Outcome of one task, as its caller learns it.
+/// Outcome of one task, as reported to the caller.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskOutcome {
@@ -60,14 +60,14 @@
 /// The answer that a caller receives once a job ended.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobAnswer {
-    /// `Complete` where every task completed, else `Failed`.
+    /// `Complete` if every task completed, else `Failed`.
     pub status: JobStatus,
     /// One answer for each task, in the order of the submission.
     pub tasks: Vec<TaskAnswer>,
 }
 
 impl JobAnswer {
-    /// Returns whether the answer says of at least one task that it did not run.
+    /// Returns whether the answer reports at least one task as not run.
     #[must_use]
     pub fn has_task_not_run(&self) -> bool {
         self.tasks.iter().any(|task| task.outcome.is_not_run())
--- a/crates/types/src/assignment.rs
+++ b/crates/types/src/assignment.rs
@@ -1,4 +1,4 @@
-//! Assignments: tasks of one job that an entry gives to an agent.
+//! Assignments: tasks of one job that an entry asks an agent to start.
 
 use {
     crate::{AssignmentId, JobId, Resources, RunNumber, StepIndex, TaskIndex},
@@ -44,15 +44,14 @@
 /// Asks an agent to start tasks of one job.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Assignment {
-    /// Number of the assignment; it grows with each assignment that an entry
-    /// sends between two restarts.
+    /// Number of the assignment, counted from 1 in each run of the entry.
     pub id: AssignmentId,
     /// The job that the tasks belong to.
     pub job: JobId,
-    /// Input that every task gets.
+    /// Input passed to every task.
     pub payload: Arc<str>,
-    /// Highest run number that the entry knows for the job; the agent numbers
-    /// its starts above it. 0 where no task of the job has started.
+    /// Highest run number that the entry knows for the job, 0 if none of its
+    /// tasks has started. The agent gives its starts higher numbers.
     pub after_run: RunNumber,
     /// How long the tasks may wait at the agent for free resources, counted
     /// from the moment at which the agent reads the message.
--- a/crates/types/src/best_effort_job.rs
+++ b/crates/types/src/best_effort_job.rs
@@ -8,7 +8,7 @@
     thiserror::Error,
 };
 
-/// Longest payload of a job, in bytes, as the platform limits it.
+/// Longest payload of a job, in bytes; a limit of the platform.
 pub const MAX_PAYLOAD_BYTES: usize = 4_000;
 
 /// Most tasks that a job may have over all of its steps; the target is 170.
@@ -43,7 +43,7 @@
 pub struct BestEffortJob {
     /// Id that the caller chose for the job.
     pub id: JobId,
-    /// Input that every task gets unchanged.
+    /// Input passed to every task unchanged.
     pub payload: Arc<str>,
     /// The steps; a step may depend only on steps before it in this list.
     pub steps: Vec<StepSpec>,
--- a/crates/types/src/configuration.rs
+++ b/crates/types/src/configuration.rs
@@ -38,13 +38,13 @@
     pub contracts: IndexMap<ContractId, Contract>,
     /// Drain state of each endpoint that has a drain row.
     pub drains: IndexMap<EndpointId, DrainState>,
-    /// Revision of each row, which decides in [`Self::merge`] which is newer.
+    /// Revision of each row, by which [`Self::merge`] keeps the newer of two rows.
     pub rows: Box<RowRevisions>,
 }
 
 impl Configuration {
-    /// Creates a configuration that holds only the row of one accepted write; it
-    /// holds no row where the written row is neither a contract nor a drain.
+    /// Creates a configuration with only the row of one accepted write; it has no
+    /// rows if the written row is neither a contract nor a drain state.
     #[must_use]
     pub fn from_row(row: TableRow, revision: Revision) -> Self {
         let mut configuration = Self {
@@ -70,8 +70,8 @@
         configuration
     }
 
-    /// Copies each row of `other` that has a higher revision than the own one;
-    /// returns whether anything changed.
+    /// Copies each row of `other` whose revision is higher than the same row's
+    /// revision in `self`; returns whether anything changed.
     ///
     /// A row therefore never reverts, whatever order updates arrive in.
     pub fn merge(&mut self, other: &Self) -> bool {
@@ -96,7 +96,7 @@
         is_changed
     }
 
-    /// Returns the part that the agent of an endpoint needs: its drain state.
+    /// Returns the part that an endpoint's agent needs: the endpoint's drain state.
     #[must_use]
     pub fn for_endpoint(&self, endpoint: &EndpointId) -> Self {
         let mut part = Self {
@@ -120,7 +120,7 @@
 }
 
 /// Records the revision of a row if it is higher than the recorded one, or if
-/// none is recorded; returns whether it did.
+/// none is recorded; returns whether the revision was recorded.
 fn raise_revision<K: Clone + Eq + Hash>(
     known: &mut IndexMap<K, Revision>,
     key: &K,
--- a/crates/types/src/contract.rs
+++ b/crates/types/src/contract.rs
@@ -30,7 +30,8 @@
     pub in_flight_limit: u32,
     /// Most tasks that wait in the contract's queue.
     pub queue_limit: u32,
-    /// Urgency relative to other contracts; a higher one goes first.
+    /// Urgency relative to other contracts; tasks of contracts with a higher
+    /// value run first.
     pub urgency: u8,
     /// Share of the slots relative to other contracts of the same urgency.
     pub weight: u32,
@@ -44,7 +45,7 @@
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum ContractError {
     /// The name is empty, too long or has a character that is not allowed.
-    #[error("a contract's name has 1 to 64 characters of a-z 0-9 -, not {0:?}")]
+    #[error("contract name {0:?} is not valid; accepted: 1 to 64 characters of a-z 0-9 -")]
     BadName(ContractId),
     /// The named field is zero but must be positive.
     #[error("{0} must be at least 1")]
--- a/crates/types/src/decision_event.rs
+++ b/crates/types/src/decision_event.rs
@@ -27,11 +27,12 @@
         tasks: usize,
         /// Expected run time of the longest chain of steps.
         chain_ms: u64,
-        /// How long the first tasks may wait if the job is to meet its objective.
+        /// Longest wait of the first tasks with which the job still meets its latency
+        /// objective.
         slack_ms: u64,
         /// How long the caller still waits for the answer.
         caller_waits_ms: u64,
-        /// Number of jobs that the entry holds, including this one.
+        /// Number of unfinished jobs at the entry, including this one.
         held: usize,
     },
     /// An entry assigned tasks of a job to an agent.
@@ -46,7 +47,7 @@
         tasks: usize,
         /// Time since the entry accepted the job.
         after_ms: u64,
-        /// Free processor of the endpoint, as the agent last reported it.
+        /// Free processor capacity of the endpoint, as the agent last reported it.
         free_cpu_millis: u32,
         /// Age of that report.
         report_age_ms: u64,
@@ -59,7 +60,7 @@
         task: TaskPosition,
         /// The agent to which the task was assigned.
         agent: AgentId,
-        /// Number of the start; 0 where the task did not start.
+        /// Number of the start; 0 if the task did not start.
         run: RunNumber,
         /// How the task ended at the agent.
         how: EndKind,
@@ -72,15 +73,15 @@
         job: JobId,
         /// Route of the job.
         route: RouteId,
-        /// Outcome in the answer.
+        /// Outcome in the answer, such as `completed`.
         outcome: Cow<'static, str>,
         /// Time since the entry accepted the job.
         took_ms: u64,
-        /// Time until the first task was placed; none where no task was placed.
+        /// Time until the first task was placed; none if no task was placed.
         placed_after_ms: Option<u64>,
-        /// Number of tasks that ran to their end.
+        /// Number of tasks that completed.
         done: usize,
-        /// Number of tasks that an agent has or may have at the time of the
+        /// Number of tasks that are or may be at an agent at the time of the
         /// answer.
         at_agents: usize,
         /// Number of times that an agent returned a task that did not complete.
@@ -109,7 +110,7 @@
         agent: AgentId,
         /// Number of the agent's run.
         incarnation: Incarnation,
-        /// The agent's endpoint; none where it cannot be used.
+        /// The agent's endpoint; none if it cannot be used.
         endpoint: Option<EndpointId>,
         /// Number of this entry's tasks that wait or run at the agent.
         live: usize,
@@ -122,17 +123,17 @@
         /// Number of tasks whose state is unknown.
         in_doubt: usize,
     },
-    /// An agent reported that its endpoint can be used, or no longer can.
+    /// An agent reported that its endpoint became usable or unusable.
     EndpointChanged {
         /// The agent.
         agent: AgentId,
-        /// The endpoint; none where it can no longer be used.
+        /// The endpoint; none if it can no longer be used.
         endpoint: Option<EndpointId>,
         /// Number of the endpoint's run.
         incarnation: Incarnation,
-        /// Pool of the endpoint.
+        /// Pool of the endpoint; none if the endpoint can no longer be used.
         service: Option<ServiceId>,
-        /// Processor of the endpoint, used and free.
+        /// Processor capacity of the endpoint, used and free.
         cpu_millis: u32,
     },
     /// An agent asked its endpoint to start a task.
@@ -149,7 +150,7 @@
         assignment: AssignmentId,
         /// How long the task waited at the agent.
         waited_ms: u64,
-        /// Free processor of the endpoint.
+        /// Free processor capacity of the endpoint.
         free_cpu_millis: u32,
     },
     /// An endpoint did not start a task that its agent asked it to start.
@@ -160,7 +161,7 @@
         task: TaskPosition,
         /// Number of the start.
         run: RunNumber,
-        /// The endpoint's answer; `no-answer` where it did not answer.
+        /// The endpoint's answer; `no-answer` if it did not answer.
         reason: Cow<'static, str>,
     },
     /// An agent asked its endpoint to stop a task.
@@ -182,21 +183,21 @@
         job: JobId,
         /// The task.
         task: TaskPosition,
-        /// Number of the start; 0 where the task did not start.
+        /// Number of the start; 0 if the task did not start.
         run: RunNumber,
         /// How the task ended.
         how: EndKind,
         /// How long the task ran.
         ran_ms: u64,
     },
-    /// An agent learned that its endpoint started, leaves or is lost.
+    /// An agent learned that its endpoint started, is leaving or is lost.
     #[serde(rename = "endpoint-news")]
     EndpointLifecycle {
         /// The endpoint.
         endpoint: EndpointId,
         /// Number of the endpoint's run.
         incarnation: Incarnation,
-        /// What happened to the endpoint.
+        /// The change, such as `announced`, `usable` or `silent`.
         news: Cow<'static, str>,
     },
     /// An agent considers an entry dead and stops the tasks that it assigned.
@@ -214,7 +215,7 @@
         version: RoutingVersion,
         /// Version that the table replaced.
         replaced: RoutingVersion,
-        /// Where the table came from.
+        /// Origin of the table: `directory` or `peer`.
         source: Cow<'static, str>,
     },
     /// The directory answered a read, or a feed request with changes or with the
@@ -228,11 +229,10 @@
         after: Option<Revision>,
         /// Revision that the directory names as its newest.
         directory_revision: Option<Revision>,
-        /// Revision at which the routing table was written; none where the answer
-        /// has no table.
+        /// Revision at which the routing table was written; none if the answer has
+        /// no table.
         row_revision: Option<Revision>,
-        /// Version of the routing table; none where the answer has no table that
-        /// is valid.
+        /// Version of the routing table; none if the answer has no valid table.
         routing_version: Option<RoutingVersion>,
     },
     /// The process lost or regained a dependency.
@@ -242,11 +242,12 @@
         /// Whether the dependency is available.
         is_there: bool,
     },
-    /// The process started, reloaded its settings, leaves or ended.
+    /// The process started, reloaded its settings, is leaving or ended.
     Process {
-        /// What happened to the process.
+        /// The change: `started`, `reloaded`, `settings-refused`, `leaves` or
+        /// `stopped`.
         news: Cow<'static, str>,
-        /// Number of jobs or tasks that the process holds.
+        /// Number of unfinished jobs of an entry, or of tasks at an agent.
         held: usize,
     },
     /// Lines were dropped because the log exceeded its rate limit.
@@ -257,7 +258,7 @@
 }
 
 impl DecisionEvent {
-    /// Returns the job that the event refers to; none where there is none.
+    /// Returns the job that the event refers to, if any.
     #[must_use]
     pub fn job(&self) -> Option<&JobId> {
         match self {
@@ -301,8 +302,8 @@
         }
     }
 
-    /// Returns whether the event is rare or reports a problem; others are the
-    /// first to be dropped when the log exceeds its rate limit.
+    /// Returns whether the event is rare or reports a problem; all other events
+    /// are dropped first when the log exceeds its rate limit.
     #[must_use]
     pub fn is_remarkable(&self) -> bool {
         match self {
--- a/crates/types/src/endpoint_report.rs
+++ b/crates/types/src/endpoint_report.rs
@@ -1,4 +1,4 @@
-//! What an agent reports to entries about its endpoint and their tasks.
+//! Reports of agents to entries about endpoints and assigned tasks.
 
 use {
     crate::{
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndKind {
-    /// The task ran to its end.
+    /// The task ran and completed.
     Done,
     /// The task ran and failed.
     Failed,
@@ -64,7 +64,7 @@
     pub assignment: AssignmentId,
     /// Position of the task in the job.
     pub at: TaskPosition,
-    /// Number of the start; 0 where the task did not start.
+    /// Number of the start; 0 if the task did not start.
     pub run: RunNumber,
     /// How the task ended.
     pub kind: EndKind,
@@ -93,7 +93,7 @@
 /// tasks.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Resync {
-    /// The endpoint; none as long as earlier runs of it may still exist.
+    /// The endpoint; none until it is known to run only tasks that the agent started.
     pub info: Option<EndpointInfo>,
     /// Assigned tasks that wait or run.
     pub live: Vec<(AssignmentId, TaskPosition)>,
--- a/crates/types/src/exchange.rs
+++ b/crates/types/src/exchange.rs
@@ -30,7 +30,7 @@
     pub leaving: bool,
 }
 
-/// Where the task records of one run of an agent are.
+/// Location of the task records of one run of an agent.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunRecords {
@@ -40,7 +40,7 @@
     Departed(Vec<KeyHash>),
 }
 
-/// One run of an agent, as an entry knows of it.
+/// One run of an agent that an entry knows of.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KnownRun {
     /// The endpoint beside the agent.
@@ -49,16 +49,16 @@
     pub incarnation: Incarnation,
     /// Shard whose owner may use the endpoint.
     pub shard: ShardId,
-    /// Where the records of the run are.
+    /// Location of the run's task records.
     pub records: RunRecords,
 }
 
 /// The runs of agents that an entry knows of.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KnownAgents {
-    /// The runs that may hold task records.
+    /// The runs that may have task records.
     pub runs: Vec<KnownRun>,
-    /// Whether the list is complete, so that no other run holds records.
+    /// Whether the list is complete, so that no other run has records.
     pub complete: bool,
 }
 
@@ -80,13 +80,13 @@
 pub struct VoteRequest {
     /// Number that the vote repeats.
     pub nonce: Nonce,
-    /// The shard that is owned.
+    /// The shard that the sender owns.
     pub shard: ShardId,
     /// Epoch of the ownership.
     pub epoch: Epoch,
 }
 
-/// What a vote is based on.
+/// Evidence on which a voter bases a vote.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VoteBasis {
@@ -105,7 +105,7 @@
     /// The request that the vote answers.
     #[serde(rename = "question")]
     pub request: VoteRequest,
-    /// What the vote is based on.
+    /// Evidence on which the voter bases the vote.
     #[serde(rename = "testimony")]
     pub basis: VoteBasis,
 }
@@ -122,7 +122,7 @@
     /// Whether the same key may have reached an owner before, so that tasks of
     /// the job may already have started.
     pub may_be_older: bool,
-    /// Whether the owner shall reply at once when it accepts the job.
+    /// Whether the owner sends [`Reply::Accepted`] as soon as it accepts the job.
     pub wants_receipt: bool,
 }
 
@@ -146,8 +146,8 @@
 }
 
 impl Reply {
-    /// Returns whether the reply states that a task did not run. The statement
-    /// holds only as long as no later owner gets the same submission.
+    /// Returns whether the reply states that a task did not run. This stays true
+    /// only as long as no later owner receives the same submission.
     #[must_use]
     pub fn claims_not_run(&self) -> bool {
         match self {
@@ -163,7 +163,7 @@
 pub struct JobReply {
     /// The job.
     pub job: JobRef,
-    /// Digest of the submission's body; none where the request named no
+    /// Digest of the submission's body; none if the request named no
     /// submission and the owner knows none.
     pub digest: Option<BodyDigest>,
     /// Epoch of the ownership under which the owner replies.
@@ -264,9 +264,10 @@
     pub outcome: TaskOutcome,
 }
 
-/// Asks an entry which ownership it holds, in order to extend the agent's lease.
+/// Asks an entry which ownership it has, in order to extend the agent's lease.
 ///
-/// The entry answers once it has confirmed an ownership after it received this.
+/// The entry answers with an ownership that it confirmed after this request
+/// arrived.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Confirm {
     /// Number that the answer repeats.
@@ -279,7 +280,7 @@
 /// the request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Confirmation {
-    /// Number of the request.
+    /// Number that the request carried.
     pub nonce: Nonce,
     /// Shard that the entry owns.
     pub shard: ShardId,
@@ -329,7 +330,7 @@
 pub struct FenceReply {
     /// The shard of the agent's endpoint.
     pub shard: ShardId,
-    /// Epoch of the newest ownership that the agent knows; it fences lower ones.
+    /// Epoch of the newest ownership that the agent knows; lower epochs are fenced.
     pub epoch: Epoch,
     /// Records of the tasks that run.
     pub running: Vec<TaskRecord>,
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -49,8 +49,7 @@
 /// Position of a step in its job, from 0.
 pub type StepIndex = u16;
 
-/// Number of an assignment; it grows with each assignment that an entry sends
-/// between two restarts.
+/// Number of an assignment, counted from 1 in each run of the entry.
 pub type AssignmentId = u64;
 
 /// Number of a start of a task at an endpoint; it grows with each start.
@@ -62,7 +61,7 @@
 /// Position of a task in its job, from 0.
 pub type TaskIndex = u16;
 
-/// How many starts of a task an owner has sent before, under one ownership.
+/// Number of earlier starts of a task that an owner sent under one ownership.
 pub type Attempt = u32;
 
 /// Revision of the platform's table; it grows with each accepted write.
--- a/crates/types/src/job.rs
+++ b/crates/types/src/job.rs
@@ -34,8 +34,7 @@
         xxh3_64(&buf)
     }
 
-    /// Returns the shard that the job belongs to, where there are `shards` of
-    /// them.
+    /// Returns the shard that the job belongs to, on a site with `shards` shards.
     #[must_use]
     pub fn shard(&self, shards: ShardId) -> ShardId {
         let rest = self.key_hash() % KeyHash::from(shards.max(1));
@@ -66,7 +65,7 @@
     pub tasks: Vec<TaskSpec>,
     /// Moment after which no task of the job is started.
     pub deadline: SystemTime,
-    /// Urgency within the contract; a higher one goes first.
+    /// Urgency within the contract; jobs with a higher value run first.
     pub urgency: u8,
 }
 
@@ -108,7 +107,7 @@
     /// Checks the characters and the length of an idempotency key.
     ///
     /// # Errors
-    /// Returns [`JobError::BadKey`] where the key breaks the rule.
+    /// Returns [`JobError::BadKey`] if the key breaks the rule.
     pub fn check_key(key: &str) -> Result<(), JobError> {
         let fits = (1..=MAX_KEY_CHARACTERS).contains(&key.len());
         let allowed = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
--- a/crates/types/src/member.rs
+++ b/crates/types/src/member.rs
@@ -30,8 +30,8 @@
     pub members: Vec<Member>,
 }
 
-/// Entries of which a majority must vote for an ownership; empty where no vote
-/// is needed.
+/// Entries of which a majority must vote for an ownership; empty if no vote is
+/// needed.
 pub type Electorate = Vec<EntryId>;
 
 /// An ownership of a shard, as recorded in the table.
@@ -48,6 +48,6 @@
     pub epoch: Epoch,
     /// Entries that vote for this ownership while the table is down.
     pub voters: Electorate,
-    /// Voters of earlier ownerships, as long as they may not know of this one.
+    /// Voters of earlier ownerships that may not yet know of this one.
     pub earlier: Vec<Electorate>,
 }
--- a/crates/types/src/now.rs
+++ b/crates/types/src/now.rs
@@ -53,8 +53,8 @@
 
 /// Returns for how long the worker was suspended since the first call.
 ///
-/// `Instant` does not advance while a worker is suspended, but a lease that
-/// another worker granted goes on to expire.
+/// `Instant` does not advance while a worker is suspended, but leases that other
+/// workers granted expire in that time.
 fn suspended() -> Duration {
     static AT_FIRST_CALL: OnceLock<Duration> = OnceLock::new();
     let total = suspended_since_boot();
--- a/crates/types/src/step.rs
+++ b/crates/types/src/step.rs
@@ -17,10 +17,10 @@
     pub estimate: Duration,
     /// Steps that must be complete before this one starts.
     pub after: Vec<StepIndex>,
-    /// Label that an endpoint must have to run a task of the step.
+    /// Label that an endpoint must have to run a task of the step, if any.
     pub requires: Option<Label>,
-    /// Label of the rack where tasks run fastest.
+    /// Label of the rack on which the tasks run fastest, if known.
     pub rack: Option<Label>,
-    /// Most tasks of the step on one endpoint at a time.
+    /// Most tasks of the step on one endpoint at a time; none without a limit.
     pub most_per_endpoint: Option<u16>,
 }
--- a/crates/types/src/table.rs
+++ b/crates/types/src/table.rs
@@ -41,7 +41,7 @@
     Owner(ShardOwner),
     /// Creates or changes a contract.
     Contract(Contract),
-    /// Sets whether an endpoint may get new work.
+    /// Sets the drain state of an endpoint.
     Drain(EndpointId, DrainState),
 }
 
@@ -50,7 +50,7 @@
 pub struct TableWrite {
     /// The row to write.
     pub row: TableRow,
-    /// Revision that the row must have; 0 where the row must not exist.
+    /// Revision that the row must have; 0 if the row must not exist.
     pub expected: Revision,
 }
 
@@ -59,8 +59,8 @@
 pub enum WriteResult {
     /// The write took effect at this revision.
     Accepted(Revision),
-    /// The write had no effect, since the row has this other revision; 0 where
-    /// the row does not exist.
+    /// The write had no effect, since the row has this other revision; 0 if the
+    /// row does not exist.
     Conflict(Revision),
     /// The table did not answer, so the write may have taken effect or not.
     Unknown,
