--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -10,8 +10,8 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Name and version of the protocol; a link opens only where both sides have the
-/// same.
+/// Name and version of the protocol; a link opens only if both sides use the same
+/// one.
 pub const PROTOCOL: &str = "chestnutrun.3";
 
 /// First message on a link: the side that opened the link identifies itself.
@@ -54,7 +54,7 @@
     Fence(Fence),
     /// Agent to entry: earlier ownerships are fenced, in answer to `Fence`.
     FenceReply(FenceReply),
-    /// Agent to entry: the agent leaves; it has records of these jobs.
+    /// Agent to entry: the agent is leaving and has records of these jobs.
     Departed(Vec<KeyHash>),
     /// Entry to agent: asks the agent to start a task.
     Start(Start),
@@ -90,7 +90,7 @@
     Agents(KnownAgents),
     /// Agent to entry: the state of the entry's assignments, sent first on a link.
     Resync(Resync),
-    /// Agent to entry: the endpoint changed; none where it can no longer be used.
+    /// Agent to entry: the endpoint changed; none if it can no longer be used.
     Endpoint(Option<EndpointInfo>),
     /// Agent to entry: free resources and ended tasks.
     Update(AgentUpdate),
