--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -31,7 +31,7 @@
 /// How the two sides of a link detect that the other has failed.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkTiming {
-    /// Time between two probes (websocket pings); none where only the other side
+    /// Time between two probes (websocket pings); none if only the other side
     /// sends probes.
     pub probe_interval: Option<Duration>,
     /// The link is closed when nothing arrives from the peer for this long.
--- a/crates/net/src/link_client.rs
+++ b/crates/net/src/link_client.rs
@@ -42,7 +42,7 @@
     pub address: SocketAddr,
     /// Secret that all processes of the site share, sent in the handshake.
     pub site_token: Rc<str>,
-    /// Hello of this process; each new link sends the value that it has then.
+    /// Hello of this process; each new link sends the current value.
     pub hello: Rc<RefCell<Hello>>,
     /// Allocates the numbers of links.
     pub ids: LinkIds,
--- a/crates/net/src/tls.rs
+++ b/crates/net/src/tls.rs
@@ -18,7 +18,7 @@
 /// Why a TLS configuration could not be created from a certificate and a key.
 #[derive(Debug, Error)]
 pub enum TlsError {
-    /// The file cannot be read or does not hold the expected PEM.
+    /// The file cannot be read or does not contain the expected PEM.
     #[error("{path}: {message}", path = .0.display(), message = .1)]
     File(PathBuf, String),
     /// The certificate in the file is not valid for the key.
