--- a/crates/settings/src/address_check.rs
+++ b/crates/settings/src/address_check.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-/// An address and its key in the settings.
+/// A key of the settings and the address that it sets.
 pub(crate) type NamedAddress = (&'static str, SocketAddr);
 
 /// Returns a problem for each address that no process can connect to: one with
@@ -22,8 +22,8 @@
     problems
 }
 
-/// Returns a problem for each listening address with port 0, where the system
-/// would choose a port.
+/// Returns a problem for each listening address with port 0, for which the
+/// operating system would choose a port.
 pub(crate) fn without_port(addresses: &[NamedAddress]) -> Vec<String> {
     let with_port_0 = addresses.iter().filter(|(_, address)| address.port() == 0);
     with_port_0
@@ -46,7 +46,7 @@
 }
 
 /// Returns true if the ports are equal and the IP addresses are equal too, or one
-/// of them is unspecified and so stands for every address.
+/// of them is unspecified, which means every address.
 fn overlaps(one: SocketAddr, other: SocketAddr) -> bool {
     let is_any = one.ip().is_unspecified() || other.ip().is_unspecified();
     one.port() == other.port() && (is_any || one.ip() == other.ip())
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 /// Returns an error if the file cannot be read or parsed, or if its values have
-/// problems; the error names the file and all of them.
+/// problems; the error names the file and every problem.
 pub fn load<C: Conf>(path: impl AsRef<Path>) -> Result<C, ConfError> {
     let path = path.as_ref();
     let text = fs::read_to_string(path).map_err(|source| ConfError::Read {
