--- a/crates/table/src/change.rs
+++ b/crates/table/src/change.rs
@@ -19,16 +19,17 @@
     pub at: SystemTime,
 }
 
-/// The current row, where it does not have the revision that a change expected.
+/// The current row, returned if its revision is not the one that the change
+/// expected.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct CurrentRow {
-    /// Revision of the row; 0 where the row does not exist.
+    /// Revision of the row; 0 if the row does not exist.
     pub revision: Revision,
-    /// The current contract; none where it does not exist or the change was of a
-    /// drain.
+    /// The current contract; none if it does not exist or the change was of a
+    /// drain state.
     pub contract: Option<Contract>,
-    /// The current drain state; none where the endpoint has no row or the change
-    /// was of a contract.
+    /// The current drain state; none if the endpoint has no row or the change was
+    /// of a contract.
     pub drain: Option<DrainState>,
 }
 
@@ -53,8 +54,8 @@
     pub operator: String,
     /// Id of the operation, as the operator sent it.
     pub operation: String,
-    /// Revision of the contract before the change; 0 where the change created
-    /// the contract.
+    /// Revision of the contract before the change; 0 if the change created the
+    /// contract.
     pub replaced: Revision,
     /// The contract after the change.
     pub contract: Contract,
--- a/crates/table/src/configuration_store.rs
+++ b/crates/table/src/configuration_store.rs
@@ -8,7 +8,8 @@
 
 /// Access to the rows of the platform's table that operators change.
 pub trait ConfigurationStore: fmt::Debug {
-    /// Writes a change; a change of a contract is also added to its history.
+    /// Writes a change; a change of a contract is also added to the contract's
+    /// history.
     fn change(&self, change: Change) -> TableFuture<ChangeResult>;
 
     /// Reads a contract's history, oldest change first.
--- a/crates/table/src/http_configuration.rs
+++ b/crates/table/src/http_configuration.rs
@@ -16,8 +16,8 @@
 /// Most changes that a contract's history keeps; older ones are dropped.
 const MAX_HISTORY_ENTRIES: usize = 20;
 
-/// Most attempts to write a change. A further attempt is made only if another
-/// change of the contract's history came between reading and writing it.
+/// Most attempts to write a change. Another attempt is made only if the
+/// contract's history changed between the read and the write.
 const MAX_HISTORY_ATTEMPTS: usize = 3;
 
 /// A contract's history with the revision of its row.
--- a/crates/table/src/http_table.rs
+++ b/crates/table/src/http_table.rs
@@ -10,7 +10,8 @@
     std::{fmt, net::SocketAddr},
 };
 
-/// Time limit for the head of the table's answer, and again for its body.
+/// Time limit for the head of the table's answer, and the same limit again for
+/// its body.
 const ANSWER_TIMEOUT: Millis = Millis(500);
 
 /// Longest answer of the table that the client accepts, in bytes.
--- a/crates/table/src/wire.rs
+++ b/crates/table/src/wire.rs
@@ -6,7 +6,7 @@
     serde_json::Value,
 };
 
-/// A row of the table, as an answer returns it.
+/// A row in an answer of the table.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RowReply {
     /// Key of the row.
@@ -31,7 +31,7 @@
 pub struct Condition {
     /// Key of the row.
     pub key: String,
-    /// Revision that the row must have; 0 where the row must not exist.
+    /// Revision that the row must have; 0 if the row must not exist.
     pub revision: Revision,
 }
 
@@ -44,8 +44,8 @@
     pub value: Option<Value>,
 }
 
-/// Request for a transaction: all writes take effect, or none where a condition
-/// does not hold.
+/// Request for a transaction: all writes take effect, or none of them if a
+/// condition does not hold.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Transaction {
     /// Id of the operation; a repetition with the same id has no further effect.
