--- a/crates/cli/src/callers/wait.rs
+++ b/crates/cli/src/callers/wait.rs
@@ -26,7 +26,7 @@
 const DRAW_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Requests the job's page until the job has ended or `until` is reached; returns
-/// the latest page. `first` is a page that the caller has already.
+/// the latest page. `first` is the page of an earlier request.
 pub(crate) async fn wait_for_answer(
     client: &HttpClient,
     site: &CallerSite,
--- a/crates/cli/src/client/http_reply.rs
+++ b/crates/cli/src/client/http_reply.rs
@@ -29,7 +29,8 @@
             .map_err(|error| CliError::Invalid(format!("the answer is not valid JSON: {error}")))
     }
 
-    /// Reads the body as a problem document; a body that is none becomes the detail.
+    /// Parses the body as a problem document; any other body becomes the problem's
+    /// detail.
     fn problem(self) -> Problem {
         let mut problem: Problem = serde_json::from_slice(&self.body).unwrap_or_default();
         problem.status = self.status;
--- a/crates/cli/src/operators/change_contract.rs
+++ b/crates/cli/src/operators/change_contract.rs
@@ -80,8 +80,8 @@
     Ok(Contract::hash_token(&read_token(path)?))
 }
 
-/// Writes a contract if its revision at the server is the expected one; 0 expects
-/// that there is none. Shows when the change is in force.
+/// Writes a contract if its revision at the server is `expected`, which is 0 for a
+/// contract that must not exist. Then waits until the change is in force.
 async fn put_contract(
     site: &OperatorSite,
     common: &CommonOptions,
--- a/crates/cli/src/operators/status.rs
+++ b/crates/cli/src/operators/status.rs
@@ -22,8 +22,8 @@
     "owns",
 ];
 
-/// Columns of the table of endpoints, whose rows come from the owners of their
-/// shards.
+/// Columns of the table of endpoints. The owner of a shard reports the shard's
+/// endpoints.
 const ENDPOINT_COLUMNS: [&str; 7] = [
     "endpoint", "slots", "taken", "linked", "fenced", "draining", "leaving",
 ];
--- a/crates/cli/src/output/spinner.rs
+++ b/crates/cli/src/output/spinner.rs
@@ -1,11 +1,12 @@
-//! Indicator of a command that waits.
+//! Progress indicator of commands that wait.
 
 use {
     indicatif::ProgressBar,
     std::io::{IsTerminal, stderr},
 };
 
-/// Spinner with a message on standard error; hidden if that is no terminal.
+/// Spinner with a message on standard error; hidden if that is not a
+/// terminal.
 #[derive(Debug)]
 pub(crate) struct Spinner {
     bar: ProgressBar,
--- a/crates/cli/src/site.rs
+++ b/crates/cli/src/site.rs
@@ -13,7 +13,7 @@
     },
 };
 
-/// What a caller's command needs to reach a site.
+/// Address and token with which a caller's command reaches a site.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerSite {
     /// Address of an entry for callers.
@@ -24,7 +24,7 @@
     pub(crate) token: String,
 }
 
-/// What an operator's command needs to reach a site.
+/// Addresses and token with which an operator's command reaches a site.
 #[derive(Clone, Debug)]
 pub(crate) struct OperatorSite {
     /// Addresses of entries for operators, at least one; changes go to the first.
@@ -117,8 +117,8 @@
     }
 }
 
-/// Loads the settings file, if one is given. Paths in it are relative to its
-/// folder.
+/// Loads the settings file, or the defaults if none is given. Paths in the file
+/// are relative to its folder.
 fn load_conf(common: &CommonOptions) -> Result<CliConf, CliError> {
     let Some(path) = &common.conf else {
         return Ok(CliConf::default());
