--- a/crates/types/src/contract.rs
+++ b/crates/types/src/contract.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum ContractError {
     /// The name is empty, too long or has a character that is not allowed.
-    #[error("contract name {0:?} is not valid; accepted: 1 to 64 characters of a-z 0-9 -")]
+    #[error("a contract's name has 1 to 64 characters of a-z 0-9 -, not {0:?}")]
     BadName(ContractId),
     /// The named field is zero but must be positive.
     #[error("{0} must be at least 1")]
