--- a/crates/bench/src/demo/arguments.rs
+++ b/crates/bench/src/demo/arguments.rs
@@ -5,9 +5,9 @@
 /// The sites that the demo can start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SiteName {
-    /// Letter desk of the Cooperative.
+    /// The Cooperative's site, called letter desk.
     Cooperative,
-    /// Splint desk of the Alliance.
+    /// The Alliance's site, called splint desk.
     Alliance,
 }
 
--- a/crates/bench/src/demo/endpoint_alone.rs
+++ b/crates/bench/src/demo/endpoint_alone.rs
@@ -17,8 +17,8 @@
 /// Run time of each run, in milliseconds.
 const RUN_MILLISECONDS: u64 = 20;
 
-/// Sends runs directly to the first endpoint and returns the time that each took
-/// in addition to its run time.
+/// Sends runs directly to the first endpoint and returns the overhead of each: its
+/// response time minus its run time.
 pub(crate) async fn endpoint_alone(site: &Site) -> Result<Vec<Duration>, SiteError> {
     let mut overheads = Vec::new();
     for index in 0..RUNS {
--- a/crates/bench/src/demo/job_result.rs
+++ b/crates/bench/src/demo/job_result.rs
@@ -27,10 +27,10 @@
     pub number: usize,
     /// Verdict on the answer to the first submission.
     pub verdict: Verdict,
-    /// Verdict on the answer to the resubmission; none where there was no
-    /// resubmission.
+    /// Verdict on the answer to the resubmission; none if the job was not
+    /// resubmitted.
     pub resubmission_verdict: Option<Verdict>,
-    /// False where both submissions were answered, with different answers.
+    /// False if the two submissions got different answers.
     pub answers_agree: bool,
     /// Delay between the planned arrival and the first submission.
     pub sent_late: Duration,
@@ -41,7 +41,7 @@
 impl Verdict {
     /// Classifies the reply to a job with `tasks` tasks.
     #[must_use]
-    pub fn of(reply: &HttpReply, contract: &str, key: &str, tasks: usize) -> Self {
+    pub fn from_reply(reply: &HttpReply, contract: &str, key: &str, tasks: usize) -> Self {
         match reply.status {
             200 => judge_answer(&reply.body, contract, key, tasks),
             202 => Self::Missing,
--- a/crates/bench/src/demo/judge.rs
+++ b/crates/bench/src/demo/judge.rs
@@ -19,7 +19,7 @@
     pub started_repeatedly: usize,
     /// Most tasks that any endpoint ran at once.
     pub most_at_once: u32,
-    /// Descriptions of the broken promises, a line for each.
+    /// Description of each violation of a guarantee, in one line.
     pub violations: Vec<String>,
 }
 
@@ -78,13 +78,17 @@
         match result.verdict {
             Verdict::Completed if started < job.run_times.len() => {
                 self.report(format!(
-                    "{name}: complete, but only {started} tasks started"
+                    "{name}: answered as complete, but only {started} tasks started"
                 ));
             }
             Verdict::Refused if started > 0 && result.resubmission_verdict.is_none() => {
-                self.report(format!("{name}: refused, but {started} tasks started"));
+                self.report(format!(
+                    "{name}: answered as refused, but {started} tasks started"
+                ));
             }
-            Verdict::Invalid => self.report(format!("{name}: answer is partial or not its own")),
+            Verdict::Invalid => self.report(format!(
+                "{name}: the answer is incomplete or not valid for the job"
+            )),
             Verdict::Missing => self.report(format!("{name}: no answer to the first submission")),
             _ => {}
         }
--- a/crates/bench/src/demo/opening.rs
+++ b/crates/bench/src/demo/opening.rs
@@ -44,7 +44,7 @@
 pub struct PlannedJob {
     /// Arrival time since the start of the opening.
     pub at: Duration,
-    /// Whether it arrives in the phase at half load.
+    /// Whether the job arrives during the phase at half load.
     pub at_half_load: bool,
     /// Kind of its tasks.
     pub kind: KindProfile,
@@ -80,8 +80,8 @@
 }
 
 impl PlannedJob {
-    /// Returns the time that the job would take alone on the site: that of its
-    /// longest task.
+    /// Returns the run time of the longest task, which is the response time of the
+    /// job alone on the site, without overhead.
     #[must_use]
     pub fn ideal(&self) -> Duration {
         self.run_times.iter().max().copied().unwrap_or_default()
--- a/crates/bench/src/demo/progress.rs
+++ b/crates/bench/src/demo/progress.rs
@@ -9,7 +9,7 @@
     },
 };
 
-/// Interval between lines on standard error where it is not a terminal.
+/// Interval between progress lines if standard error is not a terminal.
 const LINE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Shows how many jobs are answered, as a bar or as lines.
--- a/crates/bench/src/demo/report.rs
+++ b/crates/bench/src/demo/report.rs
@@ -12,7 +12,8 @@
     },
 };
 
-/// Upper limit of the histograms, in microseconds; longer times count as this.
+/// Upper limit of the histograms, in microseconds; longer times are recorded as this
+/// value.
 const LONGEST_MICROSECONDS: u64 = 600_000_000;
 
 /// Significant decimal digits of the histograms.
@@ -112,7 +113,8 @@
         histogram
     }
 
-    /// Writes the response time beyond the run time of the chosen jobs.
+    /// Writes a line with the overhead of the chosen jobs: their response time minus
+    /// their run time.
     fn write_overhead(
         &self,
         f: &mut Formatter<'_>,
--- a/crates/bench/src/demo/run_demo.rs
+++ b/crates/bench/src/demo/run_demo.rs
@@ -19,12 +19,12 @@
 /// process that it started.
 ///
 /// # Errors
-/// Returns an error where the site does not start, a promise was broken or the
+/// Returns an error if the site does not start, a guarantee was violated or the
 /// demo was stopped before its report.
 pub async fn run(arguments: DemoArguments) -> io::Result<()> {
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut terminate = signal(SignalKind::terminate())?;
-    let profile = SiteProfile::of(arguments.site);
+    let profile = SiteProfile::for_site(arguments.site);
     let plan = profile.plan().build();
     let folder = Site::folder_of(&plan);
     // The future owns the site; dropping it kills the processes.
@@ -45,7 +45,7 @@
         }
         Err(error) => Err(error),
     };
-    // The folder is missing where the site never started.
+    // The folder does not exist if the site never started.
     let _ = fs::remove_dir_all(folder);
     outcome
 }
@@ -59,7 +59,7 @@
 }
 
 /// Starts the site, sends the opening and prints the report; returns the site, and
-/// an error where a promise was broken.
+/// an error if a guarantee was violated.
 async fn run_opening(
     plan: SitePlan,
     profile: &SiteProfile,
--- a/crates/bench/src/demo/send_opening.rs
+++ b/crates/bench/src/demo/send_opening.rs
@@ -36,7 +36,7 @@
     results
 }
 
-/// Client of the site, and the time from which arrivals are counted.
+/// Sends the jobs of an opening that began at `started_at`.
 struct Sender {
     client: SiteClient,
     plan: SitePlan,
@@ -57,7 +57,7 @@
 }
 
 impl Sender {
-    /// Submits the job, and resubmits it where that is planned.
+    /// Submits the job, and resubmits it if the plan has a resubmission.
     async fn send_job(&self, number: usize, job: &PlannedJob) -> JobResult {
         let sent_at = Instant::now();
         let first = async {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Submits the job to an entry; none where no reply is received.
+    /// Submits the job to an entry; returns none if no reply is received.
     async fn submit(&self, job: &PlannedJob, entry: u16) -> Option<HttpReply> {
         let callers = self.plan.callers_address(entry);
         let contract = job.kind.contract;
@@ -99,6 +99,6 @@
 fn verdict(job: &PlannedJob, reply: Option<&HttpReply>) -> Verdict {
     let tasks = job.run_times.len();
     reply.map_or(Verdict::Missing, |reply| {
-        Verdict::of(reply, job.kind.contract, &job.key, tasks)
+        Verdict::from_reply(reply, job.kind.contract, &job.key, tasks)
     })
 }
--- a/crates/bench/src/demo/site_profile.rs
+++ b/crates/bench/src/demo/site_profile.rs
@@ -123,7 +123,7 @@
 impl SiteProfile {
     /// Returns the profile of a site.
     #[must_use]
-    pub fn of(site: SiteName) -> Self {
+    pub fn for_site(site: SiteName) -> Self {
         match site {
             SiteName::Cooperative => COOPERATIVE,
             SiteName::Alliance => ALLIANCE,
--- a/crates/bench/src/demo/usage.rs
+++ b/crates/bench/src/demo/usage.rs
@@ -18,11 +18,11 @@
         processes
             .chain(&site.endpoints)
             .chain([&site.table])
-            .map(Self::of)
+            .map(Self::of_process)
             .collect()
     }
 
-    fn of(process: &SiteProcess) -> Self {
+    fn of_process(process: &SiteProcess) -> Self {
         Self {
             process: process.name().to_owned(),
             used: process.usage(),
--- a/crates/bench/tests/demo.rs
+++ b/crates/bench/tests/demo.rs
@@ -12,7 +12,7 @@
 const SLOTS: u32 = 8;
 
 fn opening() -> Opening {
-    let profile = SiteProfile::of(SiteName::Cooperative);
+    let profile = SiteProfile::for_site(SiteName::Cooperative);
     let mut opening = Opening::plan(&profile, 88, 3, 1);
     opening.jobs.truncate(1);
     opening
@@ -95,7 +95,7 @@
 #[case(SiteName::Cooperative)]
 #[case(SiteName::Alliance)]
 fn an_opening_has_jobs_of_each_kind_and_depends_only_on_its_seed(#[case] site: SiteName) {
-    let profile = SiteProfile::of(site);
+    let profile = SiteProfile::for_site(site);
     let plan = |seed| Opening::plan(&profile, 88, 3, seed).jobs;
     let times = |seed| plan(seed).iter().map(|job| job.at).collect::<Vec<_>>();
     assert_eq!(times(1), times(1));
