--- a/crates/bench/src/experiment/decisions_run.rs
+++ b/crates/bench/src/experiment/decisions_run.rs
@@ -383,13 +383,13 @@
 /// A change at a set time during a run.
 #[derive(Clone, Copy, Debug)]
 enum Change {
-    /// Endpoints begin (`true`) or cease (`false`) to fail every task: number of
-    /// the first endpoint and how many.
+    /// Endpoints begin or cease to fail every task: number of the first endpoint,
+    /// number of endpoints, and true if they begin.
     Fails(u16, u16, bool),
-    /// Endpoints and their agents are lost: number of the first endpoint and how
-    /// many.
+    /// Endpoints and their agents are lost: number of the first endpoint and number
+    /// of endpoints.
     Lost(u16, u16),
-    /// A contract cancels all its jobs that have arrived so far.
+    /// A contract, by its index, cancels all its jobs that have arrived so far.
     Cancel(usize),
 }
 
--- a/crates/bench/src/experiment/fake_slots.rs
+++ b/crates/bench/src/experiment/fake_slots.rs
@@ -25,7 +25,7 @@
     pub outcome: TaskOutcome,
 }
 
-/// The tasks that occupy slots, by the time of their end.
+/// The tasks that occupy slots, ordered by their end times.
 #[derive(Debug)]
 pub struct FakeSlots {
     ends: BinaryHeap<Reverse<(Instant, u64)>>,
@@ -54,14 +54,14 @@
         self.running.insert(self.starts, running);
     }
 
-    /// Returns the next end time, which may be that of a task whose endpoint was
-    /// removed; none where no end is due.
+    /// Returns the earliest end time, or none if no task is left; it may be that of
+    /// a task on a removed endpoint.
     #[must_use]
     pub fn next_end(&self) -> Option<Instant> {
         self.ends.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Frees the slot of the task that ends next and returns the task; none where
+    /// Frees the slot of the task that ends next and returns the task, or none if
     /// the endpoint of that task was removed.
     pub fn finish_next(&mut self) -> Option<RunningTask> {
         let Reverse((_, number)) = self.ends.pop()?;
--- a/crates/bench/src/experiment/measures.rs
+++ b/crates/bench/src/experiment/measures.rs
@@ -11,7 +11,7 @@
 /// Time after a burst until response times must be normal again.
 const RECOVERY: Duration = Duration::from_secs(1);
 
-/// Length of the window after the recovery.
+/// Length of [`Window::After`], which begins when the recovery time has passed.
 const AFTER: Duration = Duration::from_secs(5);
 
 /// Part of a run, by the arrival time of the job.
@@ -78,7 +78,7 @@
     pub most_waiting: u64,
     /// Busy slot-seconds in each second of the run, by contract.
     pub used: Vec<Vec<f64>>,
-    /// Messages between processes; zero where there are no processes.
+    /// Messages between processes; zero for a run of the decision code alone.
     pub messages: u64,
     /// Tasks that were submitted.
     pub tasks: u64,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Counts a task that ended with another outcome.
+    /// Counts a task that did not complete, under its outcome.
     pub fn record_failure(&mut self, outcome: impl Into<String>) {
         *self.failures.entry(outcome.into()).or_default() += 1;
     }
@@ -149,7 +149,7 @@
         self.busy / self.slots.max(f64::EPSILON)
     }
 
-    /// Returns the fraction that was busy while at least one task waited.
+    /// Returns the busy fraction of the slot-seconds while at least one task waited.
     #[must_use]
     pub fn busy_waiting_fraction(&self) -> f64 {
         self.busy_waiting / self.slots_waiting.max(f64::EPSILON)
--- a/crates/bench/src/experiment/plots.rs
+++ b/crates/bench/src/experiment/plots.rs
@@ -22,7 +22,7 @@
 /// with a curve for each policy and variant. Returns the paths of the plots.
 ///
 /// # Errors
-/// Returns an error where a plot cannot be drawn or written.
+/// Returns an error if a plot cannot be drawn or written.
 pub fn plot(
     folder: &Path,
     name: &str,
--- a/crates/bench/src/experiment/policy_kind.rs
+++ b/crates/bench/src/experiment/policy_kind.rs
@@ -29,7 +29,7 @@
 }
 
 impl PolicyKind {
-    /// Creates the policy; `seed` is used only where it chooses at random.
+    /// Creates the policy; only the policy with random choices uses `seed`.
     #[must_use]
     pub fn policy(self, seed: u64) -> Box<dyn Policy> {
         match self {
--- a/crates/bench/src/experiment/real_run.rs
+++ b/crates/bench/src/experiment/real_run.rs
@@ -36,7 +36,7 @@
     /// Runs the experiment to its end and returns the measurements.
     ///
     /// # Errors
-    /// Returns an error where the site does not start.
+    /// Returns an error if the site does not start.
     pub async fn run(
         conf: &ExperimentConf,
         arrivals: Vec<Arrival>,
@@ -166,7 +166,7 @@
             FaultKind::Lost => {
                 for number in numbers {
                     let number = usize::from(number);
-                    // Signalling fails where the process has already ended.
+                    // Signalling fails if the process has already ended.
                     let _ = site.agents[number].signal("KILL");
                     let _ = site.endpoints[number].signal("KILL");
                 }
@@ -203,7 +203,7 @@
         let url = format!("http://{}/fault", site.plan.endpoint_address(number));
         let body = json!(fault).to_string();
         let headers = [("content-type", "application/json")];
-        // The request fails where the endpoint has been lost.
+        // The request fails if the endpoint has been lost.
         let _ = site.client.send(Method::PUT, url, &headers, body).await;
     }
 }
--- a/crates/bench/src/experiment/report.rs
+++ b/crates/bench/src/experiment/report.rs
@@ -41,7 +41,8 @@
     /// Tasks that failed at an endpoint that fails everything.
     #[serde(rename = "eaten")]
     pub failed_by_broken: u64,
-    /// Messages between processes per task; zero where there are no processes.
+    /// Messages between processes per task; zero for a run of the decision code
+    /// alone.
     pub messages_per_task: f64,
     /// Response times by contract, class of tasks and window.
     pub groups: Vec<GroupReport>,
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Returns the group with the contract, name and window of `other`.
+    /// Returns the group of this run that has the same contract, name and window as
+    /// `other`.
     fn matching_group(&self, other: &GroupReport) -> Option<&GroupReport> {
         self.groups.iter().find(|group| {
             group.contract == other.contract
--- a/crates/bench/src/experiment/run_experiment.rs
+++ b/crates/bench/src/experiment/run_experiment.rs
@@ -12,7 +12,7 @@
 /// writes their reports and plots.
 ///
 /// # Errors
-/// Returns an error where a file cannot be read, a site does not start or a report
+/// Returns an error if a file cannot be read, a site does not start or a report
 /// cannot be written.
 pub async fn run(arguments: ExperimentArguments) -> io::Result<()> {
     for file in &arguments.files {
--- a/crates/bench/src/observation/run_observation.rs
+++ b/crates/bench/src/observation/run_observation.rs
@@ -12,10 +12,10 @@
 /// Number of repetitions of each measured operation.
 const ROUNDS: u32 = 1_000_000;
 
-/// Measures the mean time to record an event and metrics, and prints it.
+/// Measures and prints the mean time to record an event and to update metrics.
 ///
 /// # Errors
-/// Returns an error where the metrics cannot be registered.
+/// Returns an error if the metrics cannot be registered.
 pub fn run() -> io::Result<()> {
     let metrics = Metrics::new().map_err(io::Error::other)?;
     let mut timeline = Timeline::new("process");
--- a/crates/bench/src/slopes/idle_cost.rs
+++ b/crates/bench/src/slopes/idle_cost.rs
@@ -9,7 +9,7 @@
     tokio::time::sleep,
 };
 
-/// Time after the start of a site before it is measured.
+/// Time between the start of a site and its measurement.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// Cost of an idle site.
@@ -43,7 +43,7 @@
     Ok(cost)
 }
 
-/// Takes a sample of each process.
+/// Reads the current usage of each process.
 pub(crate) fn samples(processes: &[SiteProcess]) -> Vec<Sample> {
     processes.iter().map(Sample::take).collect()
 }
--- a/crates/bench/src/slopes/load_cost.rs
+++ b/crates/bench/src/slopes/load_cost.rs
@@ -116,7 +116,7 @@
     }
 }
 
-/// Returns the number of the entry that owns the shard; 0 where none is found.
+/// Returns the number of the entry that owns the shard; 0 if no owner is found.
 async fn find_owner(site: &Site) -> usize {
     for number in 0..site.plan.entries() {
         let status = site.status(number).await;
--- a/crates/bench/src/slopes/mod.rs
+++ b/crates/bench/src/slopes/mod.rs
@@ -1,6 +1,6 @@
 //! Measures how the cost of each process role grows with the site and its load.
 //!
-//! The capacity page calculates with these figures.
+//! The capacity page of the documentation is based on these figures.
 
 mod arguments;
 mod frame_sizes;
--- a/crates/bench/src/slopes/run_slopes.rs
+++ b/crates/bench/src/slopes/run_slopes.rs
@@ -15,7 +15,7 @@
 /// Runs all measurements and prints their results.
 ///
 /// # Errors
-/// Returns an error where a site does not start.
+/// Returns an error if a site does not start.
 pub async fn run(arguments: SlopesArguments) -> io::Result<()> {
     frame_sizes::print();
     println!("idle, 3 entries, {} s", arguments.seconds);
