--- a/crates/bench/src/site/client.rs
+++ b/crates/bench/src/site/client.rs
@@ -119,7 +119,7 @@
     /// Submits a job under the idempotency key `key` and waits for the answer.
     ///
     /// # Errors
-    /// Returns an error if no answer comes.
+    /// Returns an error if no complete answer is received.
     pub async fn submit(
         &self,
         callers: SocketAddr,
@@ -144,7 +144,7 @@
     /// `wait` is how long the entry may wait for the end, such as `10s`.
     ///
     /// # Errors
-    /// Returns an error if no answer comes.
+    /// Returns an error if no complete answer is received.
     pub async fn fetch_job(
         &self,
         callers: SocketAddr,
@@ -161,7 +161,7 @@
     /// Sends a request with the operators' token.
     ///
     /// # Errors
-    /// Returns an error if no answer comes.
+    /// Returns an error if no complete answer is received.
     pub async fn send_as_operator(
         &self,
         method: Method,
--- a/crates/bench/src/site/launch.rs
+++ b/crates/bench/src/site/launch.rs
@@ -105,7 +105,8 @@
     /// Creates a contract and waits until every entry shows it.
     ///
     /// # Errors
-    /// Returns an error if the contract is refused, or not in force in time.
+    /// Returns an error if the contract is refused or does not come into force in
+    /// time.
     pub async fn create_contract(&self, contract: &Contract) -> Result<(), SiteError> {
         let operators = self.plan.entry_operators_address(0);
         self.client.create_contract(operators, contract).await?;
@@ -121,7 +122,7 @@
     /// Waits until one entry serves with at least `endpoints` usable endpoints.
     ///
     /// # Errors
-    /// Returns an error if no entry does so in time.
+    /// Returns an error if no entry reaches this state in time.
     pub async fn wait_until_serving(&self, endpoints: usize) -> Result<(), SiteError> {
         let deadline = Instant::now() + READY_WITHIN;
         loop {
--- a/crates/bench/src/site/lookup.rs
+++ b/crates/bench/src/site/lookup.rs
@@ -1,4 +1,4 @@
-//! Looks up processes of a site and what they report.
+//! Finds the processes of a site and queries their state.
 
 use {
     crate::{
@@ -47,14 +47,16 @@
         true
     }
 
-    /// Returns the starts that an endpoint logged, or none if it is down.
+    /// Returns the start log of an endpoint, or none if the endpoint does not
+    /// answer.
     pub async fn starts(&self, endpoint: u16) -> Option<StartLog> {
         let url = format!("http://{}/starts", self.plan.endpoint_address(endpoint));
         let reply = self.client.send(Method::GET, url, &[], String::new()).await;
         serde_json::from_value(reply.ok()?.body).ok()
     }
 
-    /// Sets the fault of the stand-in at `address`; returns whether it accepted.
+    /// Sets the fault of the stand-in at `address`; returns whether the
+    /// stand-in accepted the change.
     pub async fn set_fault(&self, address: std::net::SocketAddr, fault: Value) -> bool {
         let url = format!("http://{address}/fault");
         let headers = [("content-type", "application/json")];
--- a/crates/bench/src/site/relay.rs
+++ b/crates/bench/src/site/relay.rs
@@ -30,16 +30,16 @@
     cut: watch::Sender<ConnectionNumber>,
 }
 
-/// Faults that the connections of a relay share.
+/// Fault settings that all connections of a relay share.
 #[derive(Clone, Debug)]
 struct Faults {
     newest: Rc<Cell<ConnectionNumber>>,
-    /// Bytes of the connections up to this number are dropped both ways.
+    /// Connections up to this number drop the bytes of both directions.
     silent_up_to: Rc<Cell<ConnectionNumber>>,
-    /// Bytes back to the peer of the connections up to this number are dropped.
+    /// Connections up to this number drop the bytes sent back to the peer.
     silent_replies_up_to: Rc<Cell<ConnectionNumber>>,
     delay: Rc<Cell<Duration>>,
-    /// The connections up to this number are cut.
+    /// Connections up to this number are cut.
     cut_up_to: watch::Receiver<ConnectionNumber>,
 }
 
@@ -69,15 +69,15 @@
         self.cut.send_replace(self.faults.newest.get());
     }
 
-    /// Drops all bytes, both ways, of every connection that is open now.
+    /// Drops the bytes of both directions on every connection that is open now.
     ///
     /// The connections stay open; connections opened later are relayed.
     pub fn silence(&self) {
         self.faults.silent_up_to.set(self.faults.newest.get());
     }
 
-    /// Drops the bytes back to the peer that connected, of every connection
-    /// that is open now.
+    /// Drops the bytes sent back to the connecting peer on every connection that is
+    /// open now.
     pub fn silence_replies(&self) {
         self.faults
             .silent_replies_up_to
--- a/crates/bench/src/standins/endpoint.rs
+++ b/crates/bench/src/standins/endpoint.rs
@@ -84,7 +84,7 @@
         return HttpResponse::ServiceUnavailable().finish();
     }
     endpoint.record_start(&request);
-    // A task of its own, so that the run continues if the agent disconnects.
+    // A separate async task, so that the run continues if the agent disconnects.
     let run = ntex::rt::spawn(async move {
         let reply = run_task(&request, fault).await;
         endpoint.running.set(endpoint.running.get() - 1);
--- a/crates/bench/src/standins/table.rs
+++ b/crates/bench/src/standins/table.rs
@@ -116,7 +116,8 @@
 }
 
 impl Table {
-    /// Waits as the fault demands; returns the answer of a request that fails.
+    /// Applies the fault to a request: waits if it delays the request, and returns
+    /// the response if it makes the request fail.
     async fn simulate_fault(&self) -> Option<HttpResponse> {
         match self.fault.get() {
             TableFault::None | TableFault::LosesAnswers => None,
