--- a/crates/bench/src/scenario/calls.rs
+++ b/crates/bench/src/scenario/calls.rs
@@ -24,7 +24,7 @@
 /// How long a patient caller waits for the answer to one attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Name in the place of an entry for "every entry in turn".
+/// Value of [`SubmitStep::at`] that spreads the jobs over all entries in turn.
 const EACH_ENTRY: &str = "each";
 
 /// A caller that submits one job.
@@ -92,12 +92,12 @@
         for submission in self.submissions(&step.of)?.clone() {
             let client = self.site.client.clone();
             let callers = self.site.plan.callers_address(at);
-            let (of, wait) = (submission.clone(), step.wait.clone());
+            let (job, wait) = (submission.clone(), step.wait.clone());
             let reply = async move {
                 match kind {
-                    CallKind::Cancel => cancel(&client, callers, &of).await.ok(),
+                    CallKind::Cancel => cancel(&client, callers, &job).await.ok(),
                     _ => client
-                        .fetch_job(callers, &of.contract, &of.key, &wait)
+                        .fetch_job(callers, &job.contract, &job.key, &wait)
                         .await
                         .ok(),
                 }
@@ -170,20 +170,23 @@
     }
 
     async fn submit_once(&self, entry: SocketAddr, is_first: bool) -> Result<HttpReply, SiteError> {
-        let of = &self.submission;
+        let submission = &self.submission;
         let wait = self.wait.as_ref().map(|wait| format!("?wait={wait}"));
         let query = wait.unwrap_or_default();
-        let url = format!("http://{entry}/v1/contracts/{}/jobs{query}", of.contract);
-        let token = format!("Bearer token-of-{}", of.contract);
+        let url = format!(
+            "http://{entry}/v1/contracts/{}/jobs{query}",
+            submission.contract
+        );
+        let token = format!("Bearer token-of-{}", submission.contract);
         let mut headers = vec![
             ("authorization", token.as_str()),
-            ("idempotency-key", of.key.as_str()),
+            ("idempotency-key", submission.key.as_str()),
             ("content-type", "application/json"),
         ];
         if is_first {
             headers.push(("submission-attempt", "1"));
         }
-        let body = of.body.to_string();
+        let body = submission.body.to_string();
         self.client.send(Method::POST, url, &headers, body).await
     }
 }
@@ -191,13 +194,13 @@
 async fn cancel(
     client: &SiteClient,
     callers: SocketAddr,
-    of: &Submission,
+    submission: &Submission,
 ) -> Result<HttpReply, SiteError> {
     let url = format!(
         "http://{callers}/v1/contracts/{}/jobs/{}",
-        of.contract, of.key
+        submission.contract, submission.key
     );
-    let token = format!("Bearer token-of-{}", of.contract);
+    let token = format!("Bearer token-of-{}", submission.contract);
     let headers = [("authorization", token.as_str())];
     client
         .send(Method::DELETE, url, &headers, String::new())
--- a/crates/bench/src/scenario/errors.rs
+++ b/crates/bench/src/scenario/errors.rs
@@ -17,7 +17,7 @@
     /// A process, submission or call that the scenario needs was not found.
     #[error("not found: {0}")]
     Unknown(String),
-    /// A condition did not hold, or an answer did not come, in time.
+    /// A condition did not hold in time, or an answer was not received in time.
     #[error("{0}: time limit exceeded")]
     TooLate(String),
     /// A result differs from what the scenario or a check expects.
--- a/crates/bench/src/scenario/expectations.rs
+++ b/crates/bench/src/scenario/expectations.rs
@@ -73,7 +73,7 @@
     }
     let body: String = result.body().to_string().chars().take(600).collect();
     Err(ScenarioError::Unexpected(format!(
-        "{} of {} got status {} and {body}, not {}",
+        "call {} for job {} got status {} and {body}; expected {}",
         result.name,
         result.submission.key,
         result.status(),
--- a/crates/bench/src/scenario/faults.rs
+++ b/crates/bench/src/scenario/faults.rs
@@ -19,7 +19,7 @@
 const STOP_WITHIN: Duration = Duration::from_secs(30);
 
 impl Runner {
-    /// Returns the process with this name; entries are also known by their role.
+    /// Returns the process with this name; an entry may also be named by its role.
     fn process(&mut self, name: &str) -> Result<&mut SiteProcess, ScenarioError> {
         let is_role = ENTRY_ROLES.contains(&name);
         let full_name = if is_role {
--- a/crates/bench/src/scenario/hostile.rs
+++ b/crates/bench/src/scenario/hostile.rs
@@ -21,7 +21,7 @@
 /// Largest resident memory allowed to a process, in kilobytes.
 const MAX_MEMORY_KILOBYTES: u64 = 256 * 1024;
 
-/// Length that a large frame announces but does not send, in bytes.
+/// Length that the header of a large frame announces, in bytes; far less is sent.
 const ANNOUNCED_BYTES: u64 = 1 << 40;
 
 /// Length of the garbage that one connection sends, in bytes.
@@ -34,9 +34,9 @@
 
 /// Bytes that a hostile connection sends.
 struct HostileBytes {
-    /// Sent at once.
+    /// Sent as soon as the connection is open.
     head: Vec<u8>,
-    /// Sent after the first answer; empty for none.
+    /// Sent after the first answer; nothing is sent if empty.
     frame: Vec<u8>,
 }
 
--- a/crates/bench/src/scenario/mod.rs
+++ b/crates/bench/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! Scenarios: files whose steps act on a site and say what must hold.
+//! Scenarios: files with steps that act on a site and check its answers.
 
 mod calls;
 mod errors;
--- a/crates/bench/src/scenario/operators.rs
+++ b/crates/bench/src/scenario/operators.rs
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// Prepares a change on the revision that the entry of the step shows.
+    /// Builds the request of a step for the revision that the step's entry shows.
     async fn change_request(&self, step: &OperateStep) -> Result<ChangeRequest, ScenarioError> {
         let (method, path, body) = if let Some(plan) = &step.contract {
             let contract = serde_json::to_string(&plan.contract()?);
@@ -163,7 +163,7 @@
 }
 
 impl ChangeRequest {
-    /// Sends the change; returns the status code, or 0 if no answer came.
+    /// Sends the change; returns the status code, or 0 if no answer is received.
     async fn send(self) -> u16 {
         let url = format!("http://{}{}", self.operators, self.path);
         let token = self.client.operator_header();
@@ -197,7 +197,8 @@
     })
 }
 
-/// Fetches a page of an entry's operators, or null if no answer comes.
+/// Fetches a page from an entry's address for operators; returns null if no answer
+/// is received.
 async fn fetch_page(site: &Site, entry: u16, path: &str) -> Value {
     let operators = site.plan.entry_operators_address(entry);
     let reply = site
--- a/crates/bench/src/scenario/run_scenario.rs
+++ b/crates/bench/src/scenario/run_scenario.rs
@@ -13,7 +13,7 @@
 /// Upper bound of the random delay before each step of a variant, in milliseconds.
 const MAX_DELAY_MS: u64 = 50;
 
-/// Time limit for a new site until every process is linked.
+/// Time limit for all processes of a new site to be linked.
 const COMPLETE_WITHIN: Duration = Duration::from_secs(20);
 
 /// The result of running a scenario.
@@ -23,7 +23,7 @@
     pub transcript: Transcript,
     /// Measured times and memory, and the folder of the logs of a failed run.
     pub measurements: Vec<String>,
-    /// Why the run failed, if it did.
+    /// Result of the steps and checks.
     pub result: Result<(), ScenarioError>,
 }
 
@@ -87,7 +87,7 @@
     Runner::new(site).await
 }
 
-/// Carries out the steps and checks the run, also after a step that failed.
+/// Carries out the steps and then checks the run, even if a step failed.
 async fn run_steps(
     runner: &mut Runner,
     scenario: &Scenario,
--- a/crates/bench/src/scenario/runner.rs
+++ b/crates/bench/src/scenario/runner.rs
@@ -13,7 +13,8 @@
 /// Roles of the entries at the start of a scenario; the owner serves the shard.
 pub(super) const ENTRY_ROLES: [&str; 3] = ["owner", "other", "third"];
 
-/// A change of an endpoint's drain, with the time at which it was accepted.
+/// An accepted request to drain an endpoint or to return it, with the time of the
+/// answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DrainChange {
     pub(super) endpoint: u16,
--- a/crates/bench/src/scenario/step.rs
+++ b/crates/bench/src/scenario/step.rs
@@ -1,4 +1,4 @@
-//! Steps of a scenario, as its file has them.
+//! The steps of a scenario file.
 
 use {
     crate::{
@@ -87,7 +87,7 @@
     pub output_bytes: usize,
     /// Whether each task fails after its run time.
     pub fails: bool,
-    /// Time after submission from which on no task is started.
+    /// Time between submission and deadline; no task starts after the deadline.
     #[serde(with = "humantime_serde")]
     pub deadline_in: Duration,
     /// Query parameter `wait`: how long the entry may wait for the job's end.
@@ -252,7 +252,7 @@
     pub within: Duration,
 }
 
-/// An address to which hostile connections go.
+/// Address to which hostile connections are opened.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Port {
@@ -293,10 +293,10 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostileStep {
-    /// Entry to which the connections go; unused for the agent's address.
+    /// Entry to which the connections are opened; unused for the agent's address.
     #[serde(default = "owner")]
     pub at: String,
-    /// Address of the entry or agent to which the connections go.
+    /// Address of the entry or agent to which the connections are opened.
     pub port: Port,
     /// Input that each connection sends.
     pub send: HostileInput,
--- a/crates/bench/src/scenario/submission.rs
+++ b/crates/bench/src/scenario/submission.rs
@@ -40,7 +40,7 @@
     pub kind: CallKind,
     /// The job that the request is about.
     pub submission: Submission,
-    /// The answer; none if no answer came or the caller left.
+    /// The answer; none if no answer was received or the caller disconnected.
     pub reply: Option<HttpReply>,
 }
 
@@ -95,7 +95,7 @@
             .map_or(&Value::Null, |reply| &reply.body)
     }
 
-    /// Returns whether the answer holds the outcomes of an ended job.
+    /// Returns whether the answer contains the outcomes of an ended job.
     #[must_use]
     pub fn is_answer(&self) -> bool {
         self.status() == 200 && self.body()["state"] == "ended"
--- a/crates/bench/src/scenario/verify.rs
+++ b/crates/bench/src/scenario/verify.rs
@@ -16,8 +16,8 @@
 type Starts = IndexMap<(String, String, usize), usize>;
 
 impl Runner {
-    /// Checks every guarantee of the dispatcher that shows from outside, and the
-    /// closing checks of the scenario.
+    /// Checks the answers and start logs against the dispatcher's guarantees, then
+    /// makes the scenario's closing checks.
     pub(super) async fn verify(&mut self, closing: ClosingChecks) -> Result<(), ScenarioError> {
         let mut starts = Starts::new();
         for endpoint in 0..self.site.plan.endpoints() {
@@ -48,8 +48,8 @@
     fn verify_answers(&self, starts: &Starts) -> Result<(), ScenarioError> {
         let mut by_job: IndexMap<(&str, &str), Vec<&CallResult>> = IndexMap::new();
         for result in &self.results {
-            let of = &result.submission;
-            let job = (of.contract.as_str(), of.key.as_str());
+            let submission = &result.submission;
+            let job = (submission.contract.as_str(), submission.key.as_str());
             by_job.entry(job).or_default().push(result);
         }
         for results in by_job.values() {
@@ -60,7 +60,7 @@
                 verify_answer(answer, starts)?;
                 if answer.body() != answers[0].body() {
                     let key = &answer.submission.key;
-                    return violation(format!("{key} has two different answers"));
+                    return violation(format!("job {key} got two different answers"));
                 }
             }
         }
@@ -113,7 +113,7 @@
                 let body: String = result.body().to_string().chars().take(600).collect();
                 let (count, key, status) = (failed.len(), &result.submission.key, result.status());
                 return violation(format!(
-                    "{count} submissions did not complete, the first is {key}: {status} {body}"
+                    "{count} submissions did not complete, the first is job {key}: status {status}, {body}"
                 ));
             }
         }
@@ -137,41 +137,45 @@
     if !results.iter().all(says_not_run) {
         return Ok(());
     }
-    let of = &results[0].submission;
-    let is_of = |name: &(String, String, usize)| name.0 == of.contract && name.1 == of.key;
+    let submission = &results[0].submission;
+    let is_of =
+        |name: &(String, String, usize)| name.0 == submission.contract && name.1 == submission.key;
     if starts.keys().any(is_of) {
         return violation(format!(
-            "{} was answered as not run, but a task started",
-            of.key
+            "job {} was answered as not run, but a task started",
+            submission.key
         ));
     }
     Ok(())
 }
 
 fn verify_answer(result: &CallResult, starts: &Starts) -> Result<(), ScenarioError> {
-    let of = &result.submission;
+    let submission = &result.submission;
     let body = result.body();
-    if body["contract"] != of.contract.as_str() || body["key"] != of.key.as_str() {
+    if body["contract"] != submission.contract.as_str() || body["key"] != submission.key.as_str() {
         return violation(format!(
-            "the caller of {} got the answer of another job",
-            of.key
+            "the caller of job {} got the answer of another job",
+            submission.key
         ));
     }
     let outcomes = result.outcomes();
-    if outcomes.len() != usize::from(of.tasks) {
+    if outcomes.len() != usize::from(submission.tasks) {
         return violation(format!(
-            "the answer of {} has {} of {} tasks",
-            of.key,
+            "the answer of job {} has {} of {} tasks",
+            submission.key,
             outcomes.len(),
-            of.tasks
+            submission.tasks
         ));
     }
     let is_complete = outcomes.iter().all(|outcome| outcome == "completed");
     if is_complete != (body["status"] == "complete") {
-        return violation(format!("the status of {} contradicts its outcomes", of.key));
+        return violation(format!(
+            "the status of job {} contradicts the outcomes of its tasks",
+            submission.key
+        ));
     }
     for (index, outcome) in outcomes.iter().enumerate() {
-        let name = (of.contract.clone(), of.key.clone(), index);
+        let name = (submission.contract.clone(), submission.key.clone(), index);
         let has_started = starts.contains_key(&name);
         let must_start = match outcome.as_str() {
             "completed" | "failed-while-running" => Some(true),
@@ -180,14 +184,17 @@
         };
         if must_start.is_some_and(|must| must != has_started) {
             let text = format!(
-                "{}#{index} has the outcome {outcome}, started: {has_started}",
-                of.key
+                "task {}#{index} has the outcome {outcome}; found in the start logs: {has_started}",
+                submission.key
             );
             return violation(text);
         }
         let output = &body["tasks"][index]["output"];
-        if outcome == "completed" && *output != of.output(index) {
-            return violation(format!("{}#{index} has an unexpected output", of.key));
+        if outcome == "completed" && *output != submission.output(index) {
+            return violation(format!(
+                "task {}#{index} has an unexpected output",
+                submission.key
+            ));
         }
     }
     Ok(())
--- a/crates/bench/src/scenario/waits.rs
+++ b/crates/bench/src/scenario/waits.rs
@@ -58,7 +58,7 @@
         let keys: Vec<String> = self
             .submissions(&step.of)?
             .iter()
-            .map(|of| of.key.clone())
+            .map(|submission| submission.key.clone())
             .collect();
         let what = format!("starts of {}", step.of);
         self.wait_for(&what, step.within, async |site| {
