--- a/crates/bench/tests/scenarios.rs
+++ b/crates/bench/tests/scenarios.rs
@@ -28,7 +28,7 @@
 /// Notified when a site has ended.
 static SITE_ENDED: Condvar = Condvar::new();
 
-/// Permission to run a site, given back on drop.
+/// Permission to run a site, released on drop.
 struct SitePermit;
 
 impl SitePermit {
--- a/crates/cli/tests/sessions.rs
+++ b/crates/cli/tests/sessions.rs
@@ -85,8 +85,8 @@
     async fn wait_until_draining_is(&self, endpoint: &str, is_draining: bool) {
         for _ in 0..MAX_CHECKS {
             let pages = self.json("status");
-            let owner = pages.as_array().into_iter().flatten();
-            let mut endpoints = owner
+            let processes = pages.as_array().into_iter().flatten();
+            let mut endpoints = processes
                 .flat_map(|page| page["shards"].as_array().into_iter().flatten())
                 .flat_map(|shard| shard["endpoints"].as_array().into_iter().flatten());
             let found = endpoints.find(|page| page["endpoint"] == endpoint);
