--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -54,7 +54,7 @@
     endpoint: Box<dyn Endpoint>,
     metrics: Metrics,
     timeline: Timeline,
-    /// Queue of the loop, for runs that end.
+    /// Sender of this loop's queue, through which runs report their outcome.
     tx: Sender<Event>,
     /// When the agent exits at the latest; set once it is told to stop.
     stop_by: Option<Instant>,
@@ -128,9 +128,9 @@
         log::info!("agent of endpoint {} started", self.conf.endpoint);
         while !self.is_done() {
             tokio::select! {
-                Some(event) = rx.recv() => self.event(event),
-                Some(event) = link_rx.recv() => self.link_event(event),
-                _ = tick.tick() => self.input(AgentInput::Tick),
+                Some(event) = rx.recv() => self.handle_event(event),
+                Some(event) = link_rx.recv() => self.handle_link_event(event),
+                _ = tick.tick() => self.handle_input(AgentInput::Tick),
                 _ = terminate.recv() => self.begin_stop(),
                 _ = interrupt.recv() => self.begin_stop(),
             }
@@ -139,8 +139,8 @@
         Ok(())
     }
 
-    /// Returns whether the agent can exit: it was told to stop, and its running tasks
-    /// have ended or its time to stop is over.
+    /// Returns whether the agent can exit: it was told to stop, and no task is running
+    /// or `stop_by` has passed.
     fn is_done(&self) -> bool {
         match self.stop_by {
             None => false,
@@ -159,10 +159,11 @@
             .add_process_event(SystemTime::now(), EventKind::Leaving, "");
         self.hello.leaving = true;
         self.links.announce(self.hello.clone());
-        self.input(AgentInput::Leave);
+        self.handle_input(AgentInput::Leave);
     }
 
-    /// Sends the jobs in the agent's records to the entries and closes the links.
+    /// Announces the departure to the entries, with the key hashes of the recorded
+    /// jobs, and closes the links.
     async fn close(self) {
         if self.machine.running() > 0 {
             log::warn!(
@@ -178,7 +179,7 @@
         log::info!("agent of endpoint {} stopped", self.conf.endpoint);
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::RunEnded(task, outcome) => {
                 self.metrics.count_task(outcome_name(&outcome));
@@ -191,19 +192,19 @@
                     &endpoint,
                     detail,
                 );
-                self.input(AgentInput::RunEnded(task, outcome));
+                self.handle_input(AgentInput::RunEnded(task, outcome));
             }
             Event::Page(page, reply) => {
                 // The operator may have disconnected.
-                let _ = reply.send(self.page(page));
+                let _ = reply.send(self.render_page(page));
             }
         }
     }
 
-    fn link_event(&mut self, event: LinkEvent) {
+    fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Up(link, _) => self.links.add(link),
-            LinkEvent::Message(id, message) => self.message(id, message),
+            LinkEvent::Message(id, message) => self.handle_message(id, message),
             // Leases are renewed by `Confirmation` messages, not by signs of life.
             LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => {
@@ -213,13 +214,13 @@
                         EventKind::LinkDown,
                         entry.to_string(),
                     );
-                    self.input(AgentInput::LinkDown(entry));
+                    self.handle_input(AgentInput::LinkDown(entry));
                 }
             }
         }
     }
 
-    fn message(&mut self, id: LinkId, message: Message) {
+    fn handle_message(&mut self, id: LinkId, message: Message) {
         self.metrics.count_received("entry", message.kind());
         if let Message::Hello(Hello::Entry(member)) = message {
             self.links.set_peer(id, member.clone());
@@ -228,7 +229,7 @@
                 EventKind::LinkUp,
                 member.entry.to_string(),
             );
-            self.input(AgentInput::LinkUp(member.entry));
+            self.handle_input(AgentInput::LinkUp(member.entry));
             return;
         }
         let Some(entry) = self.links.entry(id).cloned() else {
@@ -241,23 +242,23 @@
                 self.record_configuration(configuration.revision);
                 self.configuration.merge(&configuration);
                 let draining = self.configuration.is_draining(&self.hello.endpoint);
-                self.input(AgentInput::Configured {
+                self.handle_input(AgentInput::Configured {
                     revision: self.configuration.revision,
                     draining,
                 });
             }
             Message::Confirmation(confirmation) => {
-                self.input(AgentInput::Confirmed(entry, confirmation));
+                self.handle_input(AgentInput::Confirmed(entry, confirmation));
             }
-            Message::Fence(fence) => self.input(AgentInput::Fence(entry, fence)),
-            Message::Start(start) => self.input(AgentInput::Start(entry, start)),
-            Message::Lookup(lookup) => self.input(AgentInput::Lookup(entry, lookup)),
+            Message::Fence(fence) => self.handle_input(AgentInput::Fence(entry, fence)),
+            Message::Start(start) => self.handle_input(AgentInput::Start(entry, start)),
+            Message::Lookup(lookup) => self.handle_input(AgentInput::Lookup(entry, lookup)),
             other => log::warn!("dropped a message that entries do not send to agents: {other:?}"),
         }
     }
 
     /// Passes an input to the decision machine and executes its actions.
-    fn input(&mut self, input: AgentInput) {
+    fn handle_input(&mut self, input: AgentInput) {
         for action in self.machine.handle(Now::read(), input) {
             match action {
                 AgentAction::Send(entry, message) => self.send(&entry, to_wire(message)),
@@ -319,7 +320,7 @@
         });
     }
 
-    fn page(&self, page: Page) -> (u16, String) {
+    fn render_page(&self, page: Page) -> (u16, String) {
         match page {
             Page::Live => (200, "live\n".to_owned()),
             Page::Ready if self.is_ready() => (200, "ready\n".to_owned()),
--- a/crates/agent/src/http_endpoint.rs
+++ b/crates/agent/src/http_endpoint.rs
@@ -20,7 +20,7 @@
 /// Body of the request that starts a task at the endpoint.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RunRequest {
-    /// The task.
+    /// Contract, key and position of the task.
     pub task: TaskRef,
     /// Kind of work, as the submission names it.
     pub kind: KindId,
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -17,11 +17,11 @@
     ids: LinkIds,
     events: Sender<LinkEvent>,
     dialers: IndexMap<SocketAddr, Dialer>,
-    /// Open links; an entry that has not sent its hello is in no other map.
+    /// Open links; before the entry's hello, a link is in no other map.
     open: IndexMap<LinkId, Link>,
     /// The entry at the other end of each link, from its hello.
     peers: IndexMap<LinkId, Member>,
-    /// Addresses in the newest member list; empty until one was received.
+    /// Addresses in the newest member list; empty before the first list.
     member_addresses: IndexSet<SocketAddr>,
     /// Revision of the newest member list.
     list_revision: Revision,
