--- a/crates/entry/src/callers/caller_handle.rs
+++ b/crates/entry/src/callers/caller_handle.rs
@@ -138,8 +138,9 @@
     }
 }
 
-/// Makes the response to a caller. `adjust` clears `not_run` in problems of this
-/// entry where an earlier submission of the job may have run.
+/// Creates the response to a caller. `adjust` is applied to the problems that this
+/// entry itself reports; it clears `not_run` if an earlier submission of the job may
+/// have run.
 fn respond(
     job: &JobRef,
     reply: CallerReply,
--- a/crates/entry/src/callers/routes.rs
+++ b/crates/entry/src/callers/routes.rs
@@ -28,7 +28,7 @@
 /// Prefix of the header `Authorization`, before the token.
 const BEARER_PREFIX: &str = "Bearer ";
 
-/// Query of a request: how long it waits for the job's answer.
+/// Query string of a request, with the longest time to wait for the job's answer.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct WaitQuery {
--- a/crates/entry/src/daemon/callers_side.rs
+++ b/crates/entry/src/daemon/callers_side.rs
@@ -16,7 +16,7 @@
 
 impl EntryDaemon {
     /// Forwards a caller's request, or replies at once if it cannot be accepted.
-    pub(super) fn caller_request(&mut self, caller: CallerRequest) {
+    pub(super) fn handle_caller_request(&mut self, caller: CallerRequest) {
         let job = requested_job(&caller.request).clone();
         if let Err(reply) = self.check_caller(&job.contract, &caller) {
             // The caller may have disconnected.
@@ -32,7 +32,7 @@
         self.front_input(FrontInput::Request(caller.waiter, caller.request));
     }
 
-    /// Drops a caller that no longer waits; does nothing if it has its reply.
+    /// Drops a caller that no longer waits; does nothing if the reply was sent.
     pub(super) fn abandon(&mut self, waiter: WaiterId) {
         if self.waiters.swap_remove(&waiter).is_some() {
             self.front_input(FrontInput::Abandon(waiter));
--- a/crates/entry/src/daemon/entry_daemon.rs
+++ b/crates/entry/src/daemon/entry_daemon.rs
@@ -53,7 +53,7 @@
     pub(crate) metrics: Metrics,
     /// Recent events.
     pub(crate) timeline: Timeline,
-    /// Queue of the loop, for handlers and reads and writes of the table.
+    /// Sender of the loop's queue, for HTTP handlers and results of table requests.
     pub(crate) tx: Sender<Event>,
 }
 
@@ -121,8 +121,8 @@
         log::info!("entry {} started", self.me.entry);
         while !self.is_done() {
             tokio::select! {
-                Some(event) = rx.recv() => self.event(event),
-                Some(event) = link_rx.recv() => self.link_event(event),
+                Some(event) = rx.recv() => self.handle_event(event),
+                Some(event) = link_rx.recv() => self.handle_link_event(event),
                 _ = tick.tick() => self.tick(),
                 _ = terminate.recv() => self.begin_stop(),
                 _ = interrupt.recv() => self.begin_stop(),
@@ -133,7 +133,7 @@
     }
 
     /// Returns whether the entry can exit: it was told to stop, and its open work has
-    /// ended or its time to stop is over.
+    /// ended or `stop_by` has passed.
     fn is_done(&self) -> bool {
         match self.stop_by {
             None => false,
@@ -173,15 +173,15 @@
     fn tick(&mut self) {
         self.membership_input(MembershipInput::Tick);
         let actions = self.shards.handle_all(Now::read(), &OwnerInput::Tick);
-        self.owner_actions(actions);
+        self.execute_owner_actions(actions);
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Caller(request) => self.caller_request(request),
+            Event::Caller(request) => self.handle_caller_request(request),
             Event::Abandon(waiter) => self.abandon(waiter),
-            Event::Operator(request, reply) => self.operator_request(request, reply),
-            Event::TableRead(read) => self.table_read(read),
+            Event::Operator(request, reply) => self.handle_operator_request(request, reply),
+            Event::TableRead(read) => self.handle_table_read(read),
             Event::RowChanged(row, revision) => {
                 // Before the first read, a single row is not a usable configuration.
                 if self.configuration.is_some() {
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -15,10 +15,10 @@
 };
 
 impl EntryDaemon {
-    pub(super) fn link_event(&mut self, event: LinkEvent) {
+    pub(super) fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Up(link, peer) => self.link_up(link, peer),
-            LinkEvent::Message(id, message) => self.message(id, message),
+            LinkEvent::Message(id, message) => self.handle_message(id, message),
             // Ownerships are confirmed by messages, not by signs of life.
             LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => self.link_down(id),
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Sends a message of the membership machine to another entry. Answers go on the
-    /// link that the other entry opened.
+    /// Sends a message of the membership machine to another entry. Replies are
+    /// sent on the link that the other entry opened.
     pub(super) fn send_membership_message(&mut self, entry: &EntryId, message: EntryMessage) {
         match message {
             EntryMessage::Agents(agents) => self.send_entry(entry, Message::Agents(agents)),
@@ -138,7 +138,8 @@
         }
     }
 
-    /// Records that an agent stopped in an orderly way, with the jobs of its records.
+    /// Reports to the membership machine that an agent shut down, with the key hashes
+    /// of the agent's recorded jobs.
     fn agent_departed(&mut self, endpoint: &EndpointId, jobs: Vec<KeyHash>) {
         if let Some(run) = self.links.hello(endpoint).map(|hello| hello.incarnation) {
             let input = MembershipInput::AgentDeparted(endpoint.clone(), run, jobs);
@@ -153,21 +154,21 @@
         self.owner_input(hello.shard, OwnerInput::AgentDown(endpoint, run));
     }
 
-    fn message(&mut self, id: LinkId, message: Message) {
+    fn handle_message(&mut self, id: LinkId, message: Message) {
         match self.links.peer(id).cloned() {
             Some(Peer::Agent(endpoint)) if self.links.is_newest(id) => {
                 self.metrics.count_received("agent", message.kind());
-                self.agent_message(endpoint, message);
+                self.handle_agent_message(endpoint, message);
             }
             Some(Peer::Entry(entry) | Peer::DialedEntry(entry)) => {
                 self.metrics.count_received("entry", message.kind());
-                self.entry_message(entry, message);
+                self.handle_entry_message(entry, message);
             }
-            Some(Peer::Agent(_)) | None => log::debug!("message on a replaced or closed link"),
+            Some(Peer::Agent(_)) | None => log::debug!("dropped message on an old or closed link"),
         }
     }
 
-    fn agent_message(&mut self, endpoint: EndpointId, message: Message) {
+    fn handle_agent_message(&mut self, endpoint: EndpointId, message: Message) {
         let shard = self.agent_shard(&endpoint);
         let input = match message {
             Message::Confirm(confirm) => {
@@ -198,7 +199,7 @@
         self.owner_input(shard, input);
     }
 
-    fn entry_message(&mut self, entry: EntryId, message: Message) {
+    fn handle_entry_message(&mut self, entry: EntryId, message: Message) {
         match message {
             Message::Submit(submit) => self.owner_request(entry, Request::Submit(submit)),
             Message::Ask(job) => self.owner_request(entry, Request::Query(job)),
@@ -250,10 +251,10 @@
         let input = OwnerInput::Configured(configuration);
         let now = chestnutrun_types::Now::read();
         let actions = self.shards.handle_all(now, &input);
-        self.owner_actions(actions);
+        self.execute_owner_actions(actions);
     }
 
-    /// Returns the shard of a linked agent's endpoint.
+    /// Returns the shard of an endpoint, from its agent's hello; 0 without a hello.
     fn agent_shard(&self, endpoint: &EndpointId) -> ShardId {
         self.links.hello(endpoint).map_or(0, |hello| hello.shard)
     }
--- a/crates/entry/src/daemon/operators_side.rs
+++ b/crates/entry/src/daemon/operators_side.rs
@@ -18,7 +18,7 @@
 };
 
 impl EntryDaemon {
-    pub(super) fn operator_request(
+    pub(super) fn handle_operator_request(
         &mut self,
         request: OperatorRequest,
         reply: oneshot::Sender<OperatorReply>,
--- a/crates/entry/src/daemon/shards_side.rs
+++ b/crates/entry/src/daemon/shards_side.rs
@@ -32,16 +32,16 @@
         if let Some(job) = submitted {
             self.record_decision(shard, &job, &actions);
         }
-        self.owner_actions(actions);
+        self.execute_owner_actions(actions);
     }
 
     /// Passes an input to the machine of one shard and executes its actions.
     pub(super) fn owner_input(&mut self, shard: ShardId, input: OwnerInput) {
         let actions = self.shards.handle(Now::read(), shard, input);
-        self.owner_actions(actions);
+        self.execute_owner_actions(actions);
     }
 
-    pub(super) fn owner_actions(&mut self, actions: Vec<OwnerAction>) {
+    pub(super) fn execute_owner_actions(&mut self, actions: Vec<OwnerAction>) {
         for action in actions {
             match action {
                 OwnerAction::Order(endpoint, order) => self.send_order(&endpoint, order),
@@ -67,7 +67,7 @@
         let actions = self
             .shards
             .begin_ownership(now, conf, takeover, &agents, configuration);
-        self.owner_actions(actions);
+        self.execute_owner_actions(actions);
     }
 
     pub(super) fn end_ownership(&mut self, shard: ShardId) {
--- a/crates/entry/src/daemon/table_side.rs
+++ b/crates/entry/src/daemon/table_side.rs
@@ -17,11 +17,11 @@
     /// Passes an input to the membership machine and executes its actions.
     pub(super) fn membership_input(&mut self, input: MembershipInput) {
         for action in self.membership.handle(Now::read(), input) {
-            self.membership_action(action);
+            self.execute_membership_action(action);
         }
     }
 
-    pub(super) fn table_read(&mut self, read: Result<Box<TableSnapshot>, TableError>) {
+    pub(super) fn handle_table_read(&mut self, read: Result<Box<TableSnapshot>, TableError>) {
         self.count_read(&read);
         match read {
             Ok(snapshot) => self.membership_input(MembershipInput::Read(snapshot)),
@@ -32,7 +32,7 @@
         }
     }
 
-    fn membership_action(&mut self, action: MembershipAction) {
+    fn execute_membership_action(&mut self, action: MembershipAction) {
         match action {
             MembershipAction::Read => self.read_table(),
             MembershipAction::Write(write) => self.write_table(write),
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -39,7 +39,8 @@
 pub(crate) enum Event {
     /// A caller sent a request.
     Caller(CallerRequest),
-    /// A caller has its reply, disconnected or waited for the longest time allowed.
+    /// A caller no longer waits: it has its reply, disconnected or reached its longest
+    /// wait.
     Abandon(WaiterId),
     /// An operator sent a request.
     Operator(OperatorRequest, oneshot::Sender<OperatorReply>),
--- a/crates/entry/src/job_body.rs
+++ b/crates/entry/src/job_body.rs
@@ -7,8 +7,8 @@
     thiserror::Error,
 };
 
-/// Longest time from a submission to its deadline. It must be shorter than the time
-/// for which starts and answers are kept.
+/// Longest time from a submission to its deadline; must be shorter than the time for
+/// which starts and answers are kept.
 pub const MAX_DEADLINE_IN: Duration = Duration::from_mins(5);
 
 /// The deadline is more than [`MAX_DEADLINE_IN`] ahead.
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobBody {
-    /// The tasks.
+    /// Tasks of the job, at least one.
     pub tasks: Vec<TaskBody>,
     /// Time after the submission from which no task of the job is started, written
     /// with a unit; 1 min by default.
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Returns the open link to a peer that was opened last.
+    /// Returns the newest open link to a peer; none if no link is open.
     fn newest_to(&self, peer: &Peer) -> Option<LinkId> {
         let mut to_peer = self.open.iter().filter(|(_, (_, other))| other == peer);
         to_peer.next_back().map(|(id, _)| *id)
@@ -166,7 +166,8 @@
         self.hellos.get(endpoint)
     }
 
-    /// Returns every agent that was ever linked, each with whether it is linked now.
+    /// Returns the newest hello of every agent that was ever linked, and whether that
+    /// agent is linked now.
     pub(crate) fn known_agents(&self) -> Vec<(AgentHello, bool)> {
         self.hellos
             .values()
@@ -187,9 +188,9 @@
         self.send(self.dialed.get(entry).copied(), message)
     }
 
-    /// Replies to an entry on the link that it opened and on which it sends its
-    /// requests: if that link closes, the entry knows that replies may be lost.
-    /// Returns false if there is none or the message cannot be queued.
+    /// Sends a reply on the link that the other entry opened and on which it sends its
+    /// requests: if that link closes, the other entry knows that replies may be lost.
+    /// Returns false if there is no such link or the message cannot be queued.
     pub(crate) fn reply_to_entry(&self, entry: &EntryId, message: Message) -> bool {
         self.send(self.accepted.get(entry).copied(), message)
     }
@@ -202,7 +203,7 @@
     }
 
     /// Sends a configuration to every linked entry, and to every linked agent the part
-    /// of its endpoint.
+    /// about its endpoint.
     pub(crate) fn send_configuration(&self, configuration: &Configuration) {
         for (endpoint, id) in &self.agents {
             let part = configuration.for_endpoint(endpoint);
--- a/crates/entry/src/listener.rs
+++ b/crates/entry/src/listener.rs
@@ -45,8 +45,8 @@
     }
 }
 
-/// Returns the response to a request that the HTTP server rejected before the
-/// application saw it.
+/// Returns the response to a request that the HTTP server rejected before passing it
+/// to the application.
 fn fault_response(fault: RequestFault) -> Response {
     let (status, name, detail) = match fault {
         RequestFault::HeadTooLarge => (
--- a/crates/entry/src/operators/operator_handle.rs
+++ b/crates/entry/src/operators/operator_handle.rs
@@ -25,7 +25,7 @@
     pub(crate) tx: Sender<Event>,
     /// Token that operators must send.
     pub(crate) token: Rc<str>,
-    /// Where changes are written and their history is read.
+    /// Store to which changes are written and from which their history is read.
     pub(crate) store: Rc<dyn ConfigurationStore>,
 }
 
--- a/crates/entry/src/operators/pages.rs
+++ b/crates/entry/src/operators/pages.rs
@@ -13,7 +13,7 @@
 pub(crate) struct ContractPage {
     /// Revision of the contract's row.
     pub(crate) revision: Revision,
-    /// The contract.
+    /// Contract, whose fields are inlined in the page.
     #[serde(flatten)]
     pub(crate) contract: Contract,
 }
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -18,7 +18,7 @@
 /// Media type of problem documents.
 const MEDIA_TYPE: &str = "application/problem+json";
 
-/// Seconds in `Retry-After` if the problem has no moment for a retry.
+/// Value of `Retry-After`, in seconds, if the problem has no `retry_at`.
 const DEFAULT_RETRY_SECONDS: u64 = 1;
 
 /// Problem document: the body of a response that reports an error.
@@ -27,7 +27,7 @@
     /// Type, a URN that programs can match.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Type, in words for people.
+    /// Human-readable name of the type.
     pub title: String,
     /// HTTP status code of the response.
     pub status: u16,
@@ -73,7 +73,7 @@
         self
     }
 
-    /// Sets the place of the error in the body, both counted from 1.
+    /// Sets the line and column of the error in the body, both counted from 1.
     #[must_use]
     pub fn at(mut self, line: usize, column: usize) -> Self {
         self.line = u32::try_from(line).ok();
@@ -106,7 +106,7 @@
         problem
     }
 
-    /// Makes the HTTP response with this document.
+    /// Creates the HTTP response with this document as its body.
     #[must_use]
     pub fn response(&self) -> HttpResponse {
         let status = StatusCode::from_u16(self.status).unwrap_or(StatusCode::BAD_REQUEST);
@@ -140,7 +140,7 @@
 }
 
 /// Returns the response to a method that the path does not support; `allowed`
-/// lists those that it does.
+/// lists the supported methods.
 pub(crate) fn method_not_allowed(allowed: &'static str) -> HttpResponse {
     let detail = format!("this path takes {allowed}");
     let problem = Problem::new(StatusCode::METHOD_NOT_ALLOWED, "method-not-allowed", detail);
--- a/crates/entry/src/shards.rs
+++ b/crates/entry/src/shards.rs
@@ -30,8 +30,8 @@
 
     /// Creates the machine of a shard that this entry now owns.
     ///
-    /// Of `agents`, each with whether its link is open, the machine learns the
-    /// linked agents of its shard.
+    /// `agents` has the hello of each known agent and whether the agent is linked; the
+    /// machine receives the hellos of the linked agents of its shard.
     pub(crate) fn begin_ownership(
         &mut self,
         now: Now,
