--- a/crates/observe/src/decision_log.rs
+++ b/crates/observe/src/decision_log.rs
@@ -38,7 +38,7 @@
     /// Number of the line since the process started, from 1. A gap means that
     /// lines were left out.
     pub sequence: u64,
-    /// The logged event; its fields stand beside the ones above.
+    /// The logged event, whose fields are inlined beside those above.
     #[serde(flatten)]
     pub event: DecisionEvent,
 }
@@ -48,11 +48,11 @@
     process: ProcessId,
     sequence: u64,
     buffered: VecDeque<u8>,
-    /// Start of the second that the limits count in.
+    /// Start of the second in which `common_lines` and `lines` are counted.
     second_began: Option<Instant>,
     common_lines: u32,
     lines: u32,
-    /// Lines left out since the last line that reported it.
+    /// Number of lines left out since the last `lines-left-out` line.
     left_out: u64,
 }
 
@@ -104,13 +104,13 @@
             let chunk = &chunk[..chunk.len().min(PIPE_CHUNK_BYTES)];
             let written = match out.lock().write(chunk) {
                 Ok(written) if written > 0 => written,
-                // The reader closed the pipe: nothing can be written, nor the
-                // loss reported, so the buffer is dropped.
+                // The reader closed the pipe: the buffer is dropped, because neither
+                // its lines nor a report of their loss can be written.
                 Ok(_) | Err(_) => self.buffered.len(),
             };
             self.buffered.drain(..written);
         }
-        // The standard library holds back the part after the last line end.
+        // The standard library buffers the part after the last line end.
         let _ = out.lock().flush();
     }
 
@@ -119,8 +119,8 @@
         self.flush();
     }
 
-    /// Begins the next second of the limits once the present one is over, and
-    /// reports the lines that were left out.
+    /// Resets the limits once the current second is over, and reports the number of
+    /// lines left out.
     fn advance_second(&mut self, now: Now) {
         let is_over = self
             .second_began
--- a/crates/observe/src/dispatch_metrics.rs
+++ b/crates/observe/src/dispatch_metrics.rs
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Updates the counters and histograms of a decision event.
+    /// Updates the counters and histograms that a decision event affects.
     pub fn count(&mut self, event: &DecisionEvent) {
         match event {
             DecisionEvent::JobAnswered {
@@ -156,8 +156,8 @@
         self.exporter.close();
     }
 
-    /// Returns the label of a route: its name, or [`OTHER_ROUTES`] if
-    /// [`MAX_ROUTES`] others have theirs.
+    /// Returns the label of a route: its name, or [`OTHER_ROUTES`] if [`MAX_ROUTES`]
+    /// other routes already have labels.
     fn route_label(&mut self, route: &RouteId) -> String {
         if !self.routes.contains(route) {
             if self.routes.len() >= MAX_ROUTES {
--- a/crates/observe/src/exporter.rs
+++ b/crates/observe/src/exporter.rs
@@ -12,7 +12,7 @@
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0,
 ];
 
-/// Holds the registry of one process's metrics.
+/// Registry and meter provider of one process's metrics.
 pub(crate) struct Exporter {
     registry: Registry,
     provider: SdkMeterProvider,
@@ -71,8 +71,8 @@
         .build()
 }
 
-/// Converts a count to the type of metric values; a larger one becomes the
-/// maximum.
+/// Converts a count to the type of metric values; a count that does not fit becomes
+/// the maximum.
 #[must_use]
 pub fn as_u64(count: usize) -> u64 {
     u64::try_from(count).unwrap_or(u64::MAX)
--- a/crates/observe/src/job_history.rs
+++ b/crates/observe/src/job_history.rs
@@ -17,23 +17,23 @@
     /// Outcome that the caller received, or `caller-gone` if the caller
     /// disconnected first.
     pub outcome: String,
-    /// Time from the submission until then.
+    /// Time from the submission to the answer or the caller's disconnection.
     pub took: Duration,
 }
 
 /// The log lines about one job, from all processes.
 #[derive(Clone, Debug)]
 pub struct JobHistory {
-    /// Oldest first.
+    /// Lines about the job, oldest first.
     lines: Vec<LogLine>,
     /// Agents that were assigned tasks but have no line about the job.
     agents_without_lines: Vec<AgentId>,
-    /// Lines that processes of this history left out, by process.
+    /// Number of lines that each process of this history left out.
     left_out: IndexMap<String, u64>,
 }
 
-/// Returns the result of each job that was answered or lost its caller, oldest
-/// first.
+/// Returns the result of each job that was answered or whose caller disconnected,
+/// oldest first.
 #[must_use]
 pub fn summarize_jobs(lines: &[LogLine]) -> Vec<JobSummary> {
     let mut summaries: Vec<JobSummary> = lines
@@ -112,8 +112,8 @@
         &self.left_out
     }
 
-    /// Returns the longest time without a line, with the lines before and after
-    /// it.
+    /// Returns the longest time without a line, with the lines before and after it;
+    /// none if there are fewer than two lines.
     #[must_use]
     pub fn longest_gap(&self) -> Option<(Duration, &LogLine, &LogLine)> {
         let pairs = self.lines.iter().zip(self.lines.iter().skip(1));
--- a/crates/observe/src/merged_timeline/causes.rs
+++ b/crates/observe/src/merged_timeline/causes.rs
@@ -8,13 +8,13 @@
 
 type JobKey = (ContractId, IdempotencyKey);
 
-/// A task, at one endpoint or, if there is none, at any; none for the whole job.
+/// Task and its endpoint, which is none for any endpoint; none for the whole job.
 type TaskPlace = Option<(TaskIndex, Option<EndpointId>)>;
 
 /// Positions of events by their kind and subject, oldest first.
 type EventIndex = IndexMap<(EventKind, JobKey, TaskPlace), Vec<usize>>;
 
-/// Returns for each event the position of its cause, or none if it is not known.
+/// Returns for each event the position of its cause, or none if the cause is not known.
 ///
 /// `events` must be ordered by time.
 pub(super) fn causes(events: &[Event]) -> Vec<Option<usize>> {
@@ -29,7 +29,7 @@
 fn index_events(events: &[Event]) -> EventIndex {
     let mut index = EventIndex::new();
     for (position, event) in events.iter().enumerate() {
-        let Some(job) = job_of(event) else { continue };
+        let Some(job) = job_key(event) else { continue };
         let at_endpoint = event.task.map(|task| (task, event.endpoint.clone()));
         let anywhere = event.task.map(|task| (task, None));
         let mut add = |place| {
@@ -48,7 +48,7 @@
 /// Returns the position of the event that caused the one at `effect`.
 fn cause(index: &EventIndex, events: &[Event], effect: usize, event: &Event) -> Option<usize> {
     use EventKind as K;
-    let job = job_of(event)?;
+    let job = job_key(event)?;
     let at_endpoint = event.task.map(|task| (task, event.endpoint.clone()));
     let anywhere = event.task.map(|task| (task, None));
     let nearest = |kind, place: &TaskPlace| {
@@ -86,11 +86,11 @@
     own.or_else(other).or_else(later).copied()
 }
 
-/// Returns the cause only if it stands before the effect.
+/// Returns the cause if it precedes the effect, else none.
 fn only_earlier(effect: usize, cause: Option<usize>) -> Option<usize> {
     cause.filter(|cause| *cause < effect)
 }
 
-fn job_of(event: &Event) -> Option<JobKey> {
+fn job_key(event: &Event) -> Option<JobKey> {
     Some((event.contract.clone()?, event.key.clone()?))
 }
--- a/crates/observe/src/merged_timeline/filter.rs
+++ b/crates/observe/src/merged_timeline/filter.rs
@@ -2,8 +2,8 @@
 
 use {crate::Event, std::time::SystemTime};
 
-/// Conditions on events, all of which must hold; one that is not set always
-/// holds.
+/// Conditions that a selected event meets; a condition that is not set matches every
+/// event.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct EventFilter {
     contract: Option<String>,
@@ -14,7 +14,7 @@
 }
 
 impl EventFilter {
-    /// Starts with a filter that selects every event.
+    /// Creates a builder whose filter selects every event until conditions are set.
     #[must_use]
     pub fn builder() -> EventFilterBuilder {
         EventFilterBuilder::default()
--- a/crates/observe/src/merged_timeline/order.rs
+++ b/crates/observe/src/merged_timeline/order.rs
@@ -7,7 +7,7 @@
     std::{cmp::Reverse, collections::BinaryHeap},
 };
 
-/// Identifies an event.
+/// Identifies an event by its process and number.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EventRef {
     /// Name of the process.
@@ -51,11 +51,11 @@
     (event.at, &event.process, event.sequence)
 }
 
-/// Which events must come after which others, by their positions.
+/// Constraints on the order of events, which are identified by their positions.
 struct EffectGraph {
     /// Events that must come after each event.
     effects: Vec<Vec<usize>>,
-    /// How many events must still come before each event.
+    /// Number of events not yet removed that must come before each event.
     pending_causes: Vec<usize>,
 }
 
@@ -83,8 +83,8 @@
         self.pending_causes[effect] += 1;
     }
 
-    /// Removes all events in order: each time the first by position whose causes
-    /// are all removed.
+    /// Removes all events one by one, each time the first by position whose causes
+    /// are all removed, and returns their positions in this order.
     fn drain_in_order(&mut self) -> Vec<usize> {
         let mut order = Vec::with_capacity(self.effects.len());
         let has_no_cause = |(_, pending): &(usize, &usize)| **pending == 0;
@@ -99,7 +99,7 @@
                 }
             }
         }
-        // A clock that jumps can make causes circular; those events go by time.
+        // A clock that jumps can make causes circular; those events are appended by time.
         order.extend((0..self.pending_causes.len()).filter(|i| self.pending_causes[*i] > 0));
         order
     }
--- a/crates/observe/src/merged_timeline/text.rs
+++ b/crates/observe/src/merged_timeline/text.rs
@@ -6,7 +6,7 @@
     std::fmt::Write,
 };
 
-/// Formats an event as one line of text; `at` is its time as it is shown.
+/// Formats an event as one line of text; `at` is the time to print.
 #[must_use]
 pub fn event_line(caused: &CausedEvent, at: impl std::fmt::Display) -> String {
     let event = &caused.event;
--- a/crates/observe/src/merged_timeline/trace_file.rs
+++ b/crates/observe/src/merged_timeline/trace_file.rs
@@ -75,7 +75,7 @@
     })
 }
 
-/// Names the track of a process.
+/// Returns the event that names the track of a process.
 fn process_name_event(process: usize, name: &str) -> TraceEvent {
     TraceEvent {
         name: "process_name".to_owned(),
--- a/crates/observe/src/timeline.rs
+++ b/crates/observe/src/timeline.rs
@@ -11,7 +11,7 @@
 
 /// The recent events of one process.
 ///
-/// Ids are reference-counted and shared with the message that brought them, so
+/// Ids are reference-counted and shared with the message that contained them, so
 /// that adding an event copies no string.
 #[derive(Debug)]
 pub struct Timeline {
--- a/crates/observe/tests/logs_page.rs
+++ b/crates/observe/tests/logs_page.rs
@@ -1,4 +1,4 @@
-//! Compares the page about the decision log with the lines that are written.
+//! Compares the events and fields in docs/LOGS.md with those in written log lines.
 
 use {
     chestnutrun_observe::LogLine,
@@ -12,15 +12,15 @@
 
 /// Returns one event of each kind.
 fn one_of_each() -> Vec<DecisionEvent> {
-    let mut all = of_entries();
-    all.extend(of_agents());
-    all.extend(of_both());
+    let mut all = entry_events();
+    all.extend(agent_events());
+    all.extend(shared_events());
     let names: IndexSet<&str> = all.iter().map(DecisionEvent::name).collect();
-    assert_eq!(names.len(), all.len(), "a kind of event stands twice");
+    assert_eq!(names.len(), all.len(), "an event kind is listed twice");
     all
 }
 
-fn of_entries() -> Vec<DecisionEvent> {
+fn entry_events() -> Vec<DecisionEvent> {
     vec![
         DecisionEvent::JobTaken {
             job: "j".into(),
@@ -87,7 +87,7 @@
     ]
 }
 
-fn of_agents() -> Vec<DecisionEvent> {
+fn agent_events() -> Vec<DecisionEvent> {
     vec![
         DecisionEvent::TaskStarted {
             job: "j".into(),
@@ -131,7 +131,7 @@
     ]
 }
 
-fn of_both() -> Vec<DecisionEvent> {
+fn shared_events() -> Vec<DecisionEvent> {
     vec![
         DecisionEvent::RoutingInForce {
             version: 2,
@@ -161,7 +161,7 @@
 /// Returns the fields of each event as the page documents them.
 fn documented_fields() -> IndexMap<String, IndexSet<String>> {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/LOGS.md");
-    let page = fs::read_to_string(page).expect("the page is there");
+    let page = fs::read_to_string(page).expect("docs/LOGS.md can be read");
     let rows = page.lines().filter(|line| line.starts_with("| `"));
     let rows = rows.map(|row| {
         let cells: Vec<&str> = row.trim_matches('|').split('|').collect();
@@ -171,7 +171,7 @@
     rows.collect()
 }
 
-/// Returns the texts in backticks that stand outside of parentheses.
+/// Returns the texts in backticks outside of parentheses.
 fn quoted_names(cell: &str) -> IndexSet<String> {
     let mut outside = String::new();
     let mut depth = 0;
@@ -187,7 +187,7 @@
     quoted.map(str::to_owned).collect()
 }
 
-/// Returns the fields that a line has for one event only.
+/// Returns the fields of a line that belong to its event, not to every line.
 fn written_fields(event: DecisionEvent) -> IndexSet<String> {
     let line = LogLine {
         at_us: 1,
@@ -221,7 +221,7 @@
 #[rstest]
 fn the_page_names_every_way_a_run_can_end() {
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/LOGS.md");
-    let page = fs::read_to_string(page).expect("the page is there");
+    let page = fs::read_to_string(page).expect("docs/LOGS.md can be read");
     let ends = [
         EndKind::Done,
         EndKind::Failed,
@@ -230,8 +230,8 @@
         EndKind::Stalled,
     ];
     for end in ends {
-        let name = serde_json::to_value(end).expect("it has an encoding");
-        let name = name.as_str().expect("it is a word");
+        let name = serde_json::to_value(end).expect("an end kind has an encoding");
+        let name = name.as_str().expect("an end kind is encoded as a string");
         assert!(page.contains(&format!("`{name}`")), "{name}");
     }
 }
--- a/crates/observe/tests/merged_timeline.rs
+++ b/crates/observe/tests/merged_timeline.rs
@@ -96,7 +96,7 @@
     owner.add_task_event(at(4), K::StartSent, &task(), &"e-1".into(), "");
     let events = order(owner.events().chain(agent.events()).cloned());
     let last = events.last().expect("there are events");
-    let cause = last.cause.as_ref().expect("it has a cause");
+    let cause = last.cause.as_ref().expect("the second start has a cause");
     assert_eq!((&*cause.process, cause.sequence), ("agent-0", 1));
 }
 
@@ -128,7 +128,9 @@
 #[rstest]
 fn a_trace_file_has_tracks_bars_and_arrows() {
     let file = trace_file(&order(events_of_one_task(0)));
-    let events = file["traceEvents"].as_array().expect("it has events");
+    let events = file["traceEvents"]
+        .as_array()
+        .expect("the trace file has events");
     let count = |phase: &str| events.iter().filter(|e| e["ph"] == phase).count();
     assert_eq!(count("M"), 3, "a track for each process");
     assert_eq!(count("i"), 6, "a mark for each event");
