--- a/crates/entry/src/callers/caller_handle.rs
+++ b/crates/entry/src/callers/caller_handle.rs
@@ -20,7 +20,7 @@
     },
 };
 
-/// Longest wait for the receipt of a job from the owner of its shard.
+/// Longest wait for the receipt of a job, which the owner of its shard sends.
 const RECEIPT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Handle through which the handlers of callers' requests reach the loop.
@@ -34,7 +34,8 @@
 }
 
 impl CallerHandle {
-    /// Submits a job; returns its answer or, if there is none within `wait`, a receipt.
+    /// Submits a job; returns its answer or, if there is none within `wait`, a receipt
+    /// that says that the owner has recorded the job.
     pub(crate) async fn submit(
         &self,
         token: &str,
@@ -86,8 +87,8 @@
         respond(job, reply, |problem| problem.not_run = false)
     }
 
-    /// Sends the first request and, if it has no reply within `wait`, the second, to
-    /// which the owner replies at once.
+    /// Sends the first request. If no reply arrives within `wait`, sends the second one,
+    /// to which the owner replies at once.
     async fn reply_or_receipt(
         &self,
         token: &str,
--- a/crates/entry/src/callers/submission.rs
+++ b/crates/entry/src/callers/submission.rs
@@ -21,7 +21,7 @@
 /// Value of [`ATTEMPT_HEADER`] in the first submission of a key.
 const FIRST_ATTEMPT: &str = "1";
 
-/// Reads a submission; if it returns a problem, no part of the request ran.
+/// Reads a submission. If this returns a problem, no part of the request ran.
 ///
 /// The body is read before the headers are checked: a connection with an unread
 /// body cannot be reused.
--- a/crates/entry/src/daemon/callers_side.rs
+++ b/crates/entry/src/daemon/callers_side.rs
@@ -32,14 +32,15 @@
         self.front_input(FrontInput::Request(caller.waiter, caller.request));
     }
 
-    /// Drops a caller that no longer waits; does nothing if the reply was sent.
+    /// Drops a caller that no longer waits; does nothing if the caller got its reply.
     pub(super) fn abandon(&mut self, waiter: WaiterId) {
         if self.waiters.swap_remove(&waiter).is_some() {
             self.front_input(FrontInput::Abandon(waiter));
         }
     }
 
-    /// Passes an input to the front machine and executes its actions.
+    /// Passes an input to the front machine, which forwards requests, and executes its
+    /// actions.
     pub(super) fn front_input(&mut self, input: FrontInput) {
         for action in self.front.handle(input) {
             match action {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Checks that a request has its contract's token and can be accepted now.
+    /// Checks that a request has the token of its contract and can be accepted now.
     fn check_caller(
         &self,
         contract: &ContractId,
--- a/crates/entry/src/daemon/links_side.rs
+++ b/crates/entry/src/daemon/links_side.rs
@@ -19,7 +19,7 @@
         match event {
             LinkEvent::Up(link, peer) => self.link_up(link, peer),
             LinkEvent::Message(id, message) => self.handle_message(id, message),
-            // Ownerships are confirmed by messages, not by signs of life.
+            // Ownerships are confirmed by messages, so signs of life are ignored.
             LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => self.link_down(id),
         }
@@ -63,7 +63,8 @@
     }
 
     /// Sends this entry's hello, the member list and the configuration on a new link and
-    /// adds the link. The link of an agent of a site without owners is closed.
+    /// adds the link. If the peer is an agent that belongs to a site without owners, only
+    /// closes the link.
     fn link_up(&mut self, link: Link, peer: PeerName) {
         if let PeerName::Accepted(Hello::Guard(hello)) = &peer {
             log::warn!(
@@ -254,7 +255,7 @@
         self.execute_owner_actions(actions);
     }
 
-    /// Returns the shard of an endpoint, from its agent's hello; 0 without a hello.
+    /// Returns the shard of an endpoint, as its agent's hello names it; 0 without a hello.
     fn agent_shard(&self, endpoint: &EndpointId) -> ShardId {
         self.links.hello(endpoint).map_or(0, |hello| hello.shard)
     }
--- a/crates/entry/src/daemon/observation.rs
+++ b/crates/entry/src/daemon/observation.rs
@@ -39,8 +39,8 @@
 
     /// Records on the timeline an owner's reply to a caller of this entry.
     ///
-    /// A submission that was sent again gets two replies; only the one that has a
-    /// waiting caller is recorded.
+    /// A submission that was sent again gets two replies; only the reply for which a
+    /// caller waits is recorded.
     pub(super) fn record_reply(&mut self, job_reply: &JobReply) {
         if !self.front.has_waiter_for(job_reply) {
             return;
--- a/crates/entry/src/job_body.rs
+++ b/crates/entry/src/job_body.rs
@@ -7,7 +7,7 @@
     thiserror::Error,
 };
 
-/// Longest time from a submission to its deadline; must be shorter than the time for
+/// Longest time from a submission to its deadline. It must be shorter than the time for
 /// which starts and answers are kept.
 pub const MAX_DEADLINE_IN: Duration = Duration::from_mins(5);
 
@@ -39,8 +39,8 @@
 pub struct JobBody {
     /// Tasks of the job, at least one.
     pub tasks: Vec<TaskBody>,
-    /// Time after the submission from which no task of the job is started, written
-    /// with a unit; 1 min by default.
+    /// Time from the submission to the deadline. From the deadline on, no task of the job
+    /// is started. Written with a unit; 1 min by default.
     #[serde(default = "default_deadline_in", with = "humantime_serde")]
     pub deadline_in: Duration,
     /// Urgency among the contract's jobs; higher values start first.
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -14,9 +14,9 @@
 pub(crate) enum Peer {
     /// The agent of this endpoint, which opened the link.
     Agent(EndpointId),
-    /// An entry that opened the link to this one.
+    /// An entry that opened the link to this entry.
     Entry(EntryId),
-    /// An entry to which this one opened the link.
+    /// An entry to which this entry opened the link.
     DialedEntry(EntryId),
 }
 
@@ -40,7 +40,8 @@
     open: IndexMap<LinkId, (Link, Peer)>,
     /// Newest link of each linked agent.
     agents: IndexMap<EndpointId, LinkId>,
-    /// Newest hello of each agent, including agents that are disconnected.
+    /// Newest hello (the agent's description of itself) of each agent, including agents
+    /// that are disconnected.
     hellos: IndexMap<EndpointId, AgentHello>,
     /// Newest link that this entry opened to each entry.
     dialed: IndexMap<EntryId, LinkId>,
@@ -145,8 +146,8 @@
         })
     }
 
-    /// Returns whether messages on this link are valid. Messages on an older link of
-    /// an agent may be outdated by those on its newest link.
+    /// Returns whether messages on this link are valid. Messages on an agent's older link
+    /// may be outdated by messages on the agent's newest link.
     pub(crate) fn is_newest(&self, id: LinkId) -> bool {
         match self.peer(id) {
             Some(Peer::Agent(endpoint)) => self.agents.get(endpoint) == Some(&id),
@@ -202,8 +203,8 @@
         }
     }
 
-    /// Sends a configuration to every linked entry, and to every linked agent the part
-    /// about its endpoint.
+    /// Sends a configuration to every linked entry, and the part about its endpoint to
+    /// every linked agent.
     pub(crate) fn send_configuration(&self, configuration: &Configuration) {
         for (endpoint, id) in &self.agents {
             let part = configuration.for_endpoint(endpoint);
@@ -245,7 +246,7 @@
     }
 }
 
-/// Replaces a peer's closed link by another one, or removes it if there is none;
+/// Replaces a peer's closed link by another one, or removes the peer if it has no other;
 /// returns false if the closed link was not the newest of its peer.
 fn replace_newest<K: std::hash::Hash + Eq>(
     links: &mut IndexMap<K, LinkId>,
--- a/crates/entry/src/operators/changes.rs
+++ b/crates/entry/src/operators/changes.rs
@@ -27,7 +27,7 @@
 struct ChangePage {
     /// New revision of the row.
     revision: Revision,
-    /// Id of the operation, from the request or new.
+    /// Id of the operation, from the request or newly generated.
     operation: String,
 }
 
--- a/crates/entry/src/operators/operator_handle.rs
+++ b/crates/entry/src/operators/operator_handle.rs
@@ -50,7 +50,7 @@
     /// Passes an accepted change to the loop, so that it takes effect before the table
     /// is read again.
     pub(crate) async fn apply_change(&self, row: TableRow, revision: Revision) {
-        // Sending fails only if the loop has ended; then there is nothing to configure.
+        // Sending fails only if the loop has ended. Then there is nothing to configure.
         let _ = self.tx.send(Event::RowChanged(row, revision)).await;
     }
 
--- a/crates/entry/src/operators/request.rs
+++ b/crates/entry/src/operators/request.rs
@@ -5,7 +5,7 @@
 /// Request of an operator for a page.
 #[derive(Clone, Debug)]
 pub(crate) enum OperatorRequest {
-    /// Readiness: the configuration is read and the entry is not stopping.
+    /// Readiness: the configuration was read and the entry is not stopping.
     Ready,
     /// All metrics, in Prometheus format.
     Metrics,
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -18,7 +18,7 @@
 /// Media type of problem documents.
 const MEDIA_TYPE: &str = "application/problem+json";
 
-/// Value of `Retry-After`, in seconds, if the problem has no `retry_at`.
+/// Value of `Retry-After`, in seconds, for a problem without `retry_at`.
 const DEFAULT_RETRY_SECONDS: u64 = 1;
 
 /// Problem document: the body of a response that reports an error.
@@ -139,8 +139,8 @@
     Problem::new(StatusCode::NOT_FOUND, "not-found", detail).response()
 }
 
-/// Returns the response to a method that the path does not support; `allowed`
-/// lists the supported methods.
+/// Returns the response to a request whose method the path does not support. `allowed`
+/// names the supported methods.
 pub(crate) fn method_not_allowed(allowed: &'static str) -> HttpResponse {
     let detail = format!("this path takes {allowed}");
     let problem = Problem::new(StatusCode::METHOD_NOT_ALLOWED, "method-not-allowed", detail);
--- a/crates/entry/src/request_body.rs
+++ b/crates/entry/src/request_body.rs
@@ -19,7 +19,7 @@
 /// How long a discarded body may take to arrive.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Reads a whole body; if it returns a problem, no part of the request ran.
+/// Reads a whole body. If this returns a problem, no part of the request ran.
 pub(crate) async fn read_body(
     req: &HttpRequest,
     payload: Payload,
