--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -37,7 +37,7 @@
 /// Capacity of each event queue of the loop.
 const MAX_QUEUED_EVENTS: usize = 4_096;
 
-/// Messages wasted by a refused start: the start and the refusal.
+/// Number of messages that a refused start wastes: the start and the refusal.
 const REFUSED_START_MESSAGES: u64 = 2;
 
 /// How long the process waits for its last messages to be sent before it exits.
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Stops accepting tasks; a second call stops waiting for the running ones.
+    /// Stops accepting tasks; a second call stops waiting for running tasks.
     fn begin_stop(&mut self) {
         if self.stop_by.is_some() {
             self.stop_by = Some(Instant::now());
@@ -205,7 +205,7 @@
         match event {
             LinkEvent::Up(link, _) => self.links.add(link),
             LinkEvent::Message(id, message) => self.handle_message(id, message),
-            // Leases are renewed by `Confirmation` messages, not by signs of life.
+            // Leases are renewed by `Confirmation` messages, so signs of life are ignored.
             LinkEvent::PeerAlive(..) => {}
             LinkEvent::Down(id) => {
                 if let Some(entry) = self.links.remove(id) {
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -17,7 +17,7 @@
     ids: LinkIds,
     events: Sender<LinkEvent>,
     dialers: IndexMap<SocketAddr, Dialer>,
-    /// Open links; before the entry's hello, a link is in no other map.
+    /// Open links. A link is in no other map until its entry sends a hello.
     open: IndexMap<LinkId, Link>,
     /// The entry at the other end of each link, from its hello.
     peers: IndexMap<LinkId, Member>,
@@ -58,7 +58,7 @@
     /// Dials the entries in a member list.
     ///
     /// Entries read the table at different moments, so an older list may arrive
-    /// after a newer one; it is ignored. A link to an entry that is no longer
+    /// after a newer one; the older list is ignored. A link to an entry that is no longer
     /// listed stays open, but is not dialed again after it closes.
     pub(crate) fn update_members(&mut self, list: &MemberList) {
         if list.members.is_empty() || list.revision < self.list_revision {
@@ -88,7 +88,7 @@
         self.peers.get(&id).map(|member| &member.entry)
     }
 
-    /// Removes a closed link; returns its entry if that was the entry's newest
+    /// Removes a closed link. Returns its entry if the link was the entry's newest
     /// link, so that the entry is now disconnected.
     pub(crate) fn remove(&mut self, id: LinkId) -> Option<EntryId> {
         if let Some(link) = self.open.swap_remove(&id) {
