--- a/crates/cli/src/callers/wait.rs
+++ b/crates/cli/src/callers/wait.rs
@@ -19,7 +19,7 @@
 /// Longest time that one request asks the server to wait.
 const REQUEST_WAIT: Duration = Duration::from_secs(20);
 
-/// Delay between requests, since a server may answer without waiting.
+/// Delay between requests. It is needed because a server may answer without waiting.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Interval at which the spinner is redrawn.
--- a/crates/cli/src/client/http_reply.rs
+++ b/crates/cli/src/client/http_reply.rs
@@ -20,7 +20,7 @@
 const MIN_ERROR_STATUS: u16 = 400;
 
 impl HttpReply {
-    /// Parses the body as JSON; an answer with an error status becomes a problem.
+    /// Parses the body as JSON; if the status is an error, returns the problem instead.
     pub(crate) fn json(self) -> Result<Value, CliError> {
         if self.status >= MIN_ERROR_STATUS {
             return Err(CliError::Problem(Box::new(self.problem())));
--- a/crates/cli/src/client/problem.rs
+++ b/crates/cli/src/client/problem.rs
@@ -37,8 +37,8 @@
         self.kind.strip_prefix(TYPE_PREFIX).unwrap_or(&self.kind)
     }
 
-    /// Returns true if the server refused the request: nothing of it ran or will run,
-    /// or the status says that the request is at fault.
+    /// Returns true if the server refused the request: either nothing of it ran or will
+    /// run, or the status says that the request is at fault.
     #[must_use]
     pub fn is_refusal(&self) -> bool {
         self.not_run || (400..500).contains(&self.status)
--- a/crates/cli/src/errors.rs
+++ b/crates/cli/src/errors.rs
@@ -40,7 +40,7 @@
     Problem(Box<Problem>),
 }
 
-/// Name of the problem type of a change that conflicts with a newer one.
+/// Name of the problem type for a change that conflicts with a newer change.
 const CONFLICT: &str = "conflict";
 
 impl CliError {
--- a/crates/cli/src/operators/change_contract.rs
+++ b/crates/cli/src/operators/change_contract.rs
@@ -36,7 +36,7 @@
 }
 
 /// Changes the given terms of a contract. `revision` is the revision that the change
-/// is based on; the current one if none.
+/// is based on; if it is none, the current revision is used.
 pub(crate) async fn change_contract(
     options: OperatorOptions,
     common: &CommonOptions,
@@ -80,8 +80,8 @@
     Ok(Contract::hash_token(&read_token(path)?))
 }
 
-/// Writes a contract if its revision at the server is `expected`, which is 0 for a
-/// contract that must not exist. Then waits until the change is in force.
+/// Writes a contract if its revision at the server is `expected`; 0 means that the
+/// contract must not exist. Then waits until the change is in force.
 async fn put_contract(
     site: &OperatorSite,
     common: &CommonOptions,
--- a/crates/cli/src/operators/explain.rs
+++ b/crates/cli/src/operators/explain.rs
@@ -88,7 +88,7 @@
     Ok(Outcome::Done)
 }
 
-/// Formats the decision of a log line with its fields, without the job, which is
+/// Formats the decision and the fields of a log line. The job is left out because it is
 /// the same in all lines.
 fn describe(line: &LogLine) -> String {
     let Ok(serde_json::Value::Object(fields)) = serde_json::to_value(&line.event) else {
--- a/crates/cli/src/operators/gather.rs
+++ b/crates/cli/src/operators/gather.rs
@@ -16,7 +16,7 @@
 pub(crate) struct ProcessReply {
     /// Address of the process.
     pub(crate) address: SocketAddr,
-    /// Page that the process returned, or why there is none.
+    /// Page that the process returned, or the error if it returned none.
     pub(crate) page: Result<Value, CliError>,
 }
 
--- a/crates/cli/src/operators/in_force.rs
+++ b/crates/cli/src/operators/in_force.rs
@@ -20,7 +20,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Waits until a change is in force at every entry or the timeout is reached, and
-/// prints the number of entries at which it is in force. `what` names the changed
+/// prints the number of entries at which the change is in force. `what` names the changed
 /// object in the output; `page` is the server's answer to the change.
 pub(crate) async fn show_in_force(
     site: &OperatorSite,
--- a/crates/cli/src/operators/timeline.rs
+++ b/crates/cli/src/operators/timeline.rs
@@ -46,8 +46,8 @@
     })
 }
 
-/// Returns the events of a process; none if it did not answer, which is reported on
-/// standard error.
+/// Returns the events of a process. If the process did not answer, returns no events
+/// and reports this on standard error.
 fn events_of(process: ProcessReply) -> Result<Vec<Event>, CliError> {
     match process.page {
         Ok(page) => serde_json::from_value(page).map_err(|error| {
--- a/crates/cli/src/output/spinner.rs
+++ b/crates/cli/src/output/spinner.rs
@@ -5,7 +5,7 @@
     std::io::{IsTerminal, stderr},
 };
 
-/// Spinner with a message on standard error; hidden if that is not a
+/// Spinner with a message on standard error; hidden if standard error is not a
 /// terminal.
 #[derive(Debug)]
 pub(crate) struct Spinner {
--- a/crates/cli/tests/sessions.rs
+++ b/crates/cli/tests/sessions.rs
@@ -330,7 +330,7 @@
         let out = session.run("drain endpoint-0");
         let shown = text(&out.stdout) + &text(&out.stderr);
         assert!(shown.ends_with("in force at 3 of 3 entries\n"), "{shown}");
-        // A change right after another one does not conflict with it.
+        // A second change right after the first one does not conflict with the first.
         assert_eq!(session.exit_code("undrain endpoint-0"), Some(0));
         assert_eq!(session.exit_code("drain endpoint-0"), Some(0));
         session.wait_until_draining_is("endpoint-0", true).await;
