--- a/crates/decisions/src/owner/admission.rs
+++ b/crates/decisions/src/owner/admission.rs
@@ -114,7 +114,8 @@
     }
 }
 
-/// Creates the job of a submission; its record is kept for [`RECORD_WINDOW`].
+/// Creates the job of a submission. The job's record is kept for
+/// [`RECORD_WINDOW`].
 pub(super) fn new_job(now: Now, submit: Submit) -> JobState {
     let forget_at = now.instant + RECORD_WINDOW;
     JobState::new(submit.job, submit.digest, submit.spec, forget_at)
--- a/crates/decisions/src/owner/agents.rs
+++ b/crates/decisions/src/owner/agents.rs
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Records whether an agent holds a lease of this ownership. Without one, the
-    /// agent refuses every start.
+    /// Records whether an agent holds a lease of this ownership. Without this
+    /// lease, the agent refuses every start.
     pub(super) fn on_lease(&mut self, now: Now, endpoint: &EndpointId, leased: Option<Epoch>) {
         let stage = if leased == Some(self.conf.epoch) {
             AgentStage::Leased
@@ -131,8 +131,8 @@
 
     /// Compares the starts that the owner sent with the tasks that the agent runs.
     ///
-    /// Adopts running tasks that the owner did not know, and looks up starts
-    /// that are not running.
+    /// Adopts running tasks that the owner did not know, and looks up the starts
+    /// whose tasks are not running.
     fn reconcile(&mut self, now: Now, endpoint: &EndpointId, running: &[TaskRecord]) {
         let Some(state) = self.endpoints.get_mut(endpoint) else {
             return;
@@ -151,8 +151,8 @@
         self.look_up_starts(endpoint, &not_running);
     }
 
-    /// Requests the outcome of starts that the agent does not run, and voids
-    /// those of which the agent has no record.
+    /// Asks an agent for the outcome of starts whose tasks it does not run.
+    /// Starts of which the agent has no record are voided.
     fn look_up_starts(&mut self, endpoint: &EndpointId, not_running: &[TaskRef]) {
         let mut by_job: IndexMap<JobRef, Vec<SentStart>> = IndexMap::new();
         for task in not_running {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Frees the slots of a lost run of an agent; the tasks that it was running
+    /// Frees the slots that a lost run of an agent held. The tasks of that run
     /// end with an unknown outcome.
     fn give_up_run(&mut self, now: Now, endpoint: &EndpointId) {
         let Some(state) = self.endpoints.get_mut(endpoint) else {
--- a/crates/decisions/src/owner/endings.rs
+++ b/crates/decisions/src/owner/endings.rs
@@ -12,7 +12,7 @@
     std::time::Duration,
 };
 
-/// Most refused starts of one task; one more ends the task as not run.
+/// Most refused starts of one task. The next refusal ends the task as not run.
 const MAX_REFUSED_STARTS: u32 = 16;
 
 /// How long an owner sends no start to an agent that refused one.
@@ -134,8 +134,9 @@
         self.answer_if_ended(&task.job());
     }
 
-    /// Whether a refusal concerns the task's current start: the newest one of
-    /// this ownership, or one of an earlier ownership that this one took over.
+    /// Whether a refusal concerns the task's current start: the newest start of
+    /// this ownership, or a start of an earlier ownership that this ownership
+    /// took over.
     fn is_current(&self, refused: &StartRefused) -> bool {
         let attempt = self.attempt(&refused.task);
         if refused.epoch == self.conf.epoch {
--- a/crates/decisions/src/owner/health.rs
+++ b/crates/decisions/src/owner/health.rs
@@ -82,8 +82,9 @@
 
     /// Records that a task of a kind failed at an endpoint.
     ///
-    /// Returns whether the failure counts against the endpoint, which is so if
-    /// the kind has failed nowhere else since it last completed.
+    /// Returns whether the failure counts against the endpoint. It counts if the
+    /// kind has failed at no other endpoint since a task of the kind last
+    /// completed.
     pub fn record_failure(
         &mut self,
         contract: &ContractId,
--- a/crates/decisions/src/owner/messages.rs
+++ b/crates/decisions/src/owner/messages.rs
@@ -14,10 +14,10 @@
 pub enum OwnerInput {
     /// An entry sent a request.
     Request(EntryId, Request),
-    /// The ownership was still in force at this moment or later.
+    /// The ownership was still in force at some moment not before this one.
     OwnershipConfirmed(Instant),
-    /// Another entry acknowledged the ownership and reported the agents that it
-    /// knows. The moment is set once enough entries have acknowledged.
+    /// Another entry acknowledged the ownership and reported the agents that the
+    /// entry knows. The moment is set once enough entries have acknowledged.
     OwnershipAcknowledged(Option<Instant>, KnownAgents),
     /// An agent's link opened.
     AgentUp(AgentHello),
@@ -48,7 +48,7 @@
     Fence(Fence),
     /// Start a task.
     Start(Start),
-    /// Report the records of a job, and void the starts that it names.
+    /// Report the records of a job, and void the starts that the order names.
     Lookup(Lookup),
 }
 
--- a/crates/decisions/src/owner/recovering.rs
+++ b/crates/decisions/src/owner/recovering.rs
@@ -118,7 +118,7 @@
             return;
         }
         if recovery.records.is_empty() && !recovery.incomplete {
-            // The listed hash was that of another job's key.
+            // The hash in the agents' job lists belongs to another job's key.
             self.takeover.forget_runs(submit.job.key_hash());
             for entry in recovery.waiting_entries {
                 self.on_request(now, entry, Request::Submit(submit.clone()));
--- a/crates/decisions/src/owner/reply_gate.rs
+++ b/crates/decisions/src/owner/reply_gate.rs
@@ -8,8 +8,8 @@
 
 /// Holds replies that claim "not run" until the ownership is confirmed.
 ///
-/// An owner that was deposed without knowing it can't rule out that its
-/// successor started the task.
+/// A deposed owner may not know of its successor yet, so it can't rule out that
+/// the successor started the task.
 #[derive(Debug, Default)]
 pub struct ReplyGate {
     held: VecDeque<(Instant, EntryId, JobReply)>,
--- a/crates/decisions/src/owner/requests.rs
+++ b/crates/decisions/src/owner/requests.rs
@@ -129,7 +129,7 @@
     }
 
     /// Attaches a submission to a known or recovering job of the same key;
-    /// returns whether there is one.
+    /// returns whether there is such a job.
     fn attach(&mut self, from: &EntryId, submit: &Submit) -> bool {
         if let Some(state) = self.jobs.get_mut(&submit.job) {
             if state.digest != submit.digest {
--- a/crates/decisions/src/owner/takeover.rs
+++ b/crates/decisions/src/owner/takeover.rs
@@ -14,7 +14,7 @@
 ///
 /// Tasks may start once every run of an agent that may hold records of an earlier
 /// ownership is fenced, or else once the lease of that ownership has expired. In
-/// the second case, the records of the other runs count as unread.
+/// the second case, the records of the runs that are not fenced count as unread.
 #[derive(Debug)]
 pub struct Takeover {
     unread_runs: IndexMap<AgentRun, Instant>,
@@ -90,7 +90,7 @@
         self.unread_runs.is_empty() && self.unknown_agents_until.is_none()
     }
 
-    /// Records the list of jobs of which a run holds records.
+    /// Stores the list of jobs for which a run holds records.
     pub fn add_job_list(&mut self, run: &AgentRun, jobs: impl IntoIterator<Item = KeyHash>) {
         self.unread_runs.shift_remove(run);
         self.read_runs.insert(run.clone());
@@ -122,8 +122,9 @@
     }
 
     fn is_ready(&self, at: Instant) -> bool {
-        // Before the acknowledgements, voters may still vote for the earlier owner,
-        // and an agent that starts late and knows no ownership would accept it.
+        // Before the acknowledgements, voters may still vote for the earlier
+        // owner, and an agent that starts late and knows no ownership would
+        // accept that owner.
         let lease_ends_at = self.earlier_lease_ends_at();
         lease_ends_at.is_some_and(|ends_at| self.has_all_records() || at >= ends_at)
     }
