--- a/crates/decisions/src/front/front_machine.rs
+++ b/crates/decisions/src/front/front_machine.rs
@@ -56,7 +56,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns the number of pending requests; those that share a reply count once.
+    /// Returns the number of pending requests; requests that share a reply count
+    /// once.
     #[must_use]
     pub fn pending_requests(&self) -> usize {
         self.pending.len()
@@ -88,8 +89,9 @@
         self.keys_by_waiter.insert(waiter, key.clone());
         if let Request::Submit(submit) = &request {
             if pending.submit.is_some() {
-                // Only one submission of a body is sent at a time: the refusal of a
-                // second one would also reach the callers of the first, which may run.
+                // Only one submission of a body is sent at a time. The refusal of
+                // a second submission would also reach the callers of the first,
+                // whose job may run.
                 return;
             }
             pending.submit = Some(submit.clone());
@@ -144,8 +146,9 @@
 
     /// Answers every caller that waits under a key with the owner's final reply.
     ///
-    /// The claim "not run" of an earlier owner is ignored if the request was since
-    /// sent to a later owner, which may run the job and whose reply follows.
+    /// A reply "not run" of an earlier owner is ignored if the request has since
+    /// been sent to a later owner. The later owner may run the job, and its reply
+    /// follows.
     fn complete(&mut self, key: &PendingKey, reply: &JobReply) {
         let Some(pending) = self.pending.get_mut(key) else {
             return;
@@ -188,8 +191,8 @@
         self.resend(|shard| owned.contains(&shard));
     }
 
-    /// Sends the pending requests of the chosen shards again: submissions first, so
-    /// that the owner knows a job before its cancellation arrives.
+    /// Sends the pending requests of the chosen shards again. Submissions go
+    /// first, so that the owner knows a job before its cancellation arrives.
     fn resend(&mut self, is_chosen: impl Fn(ShardId) -> bool) {
         let shards = self.conf.shards;
         let mut chosen: Vec<PendingKey> = self
--- a/crates/decisions/src/front/pending.rs
+++ b/crates/decisions/src/front/pending.rs
@@ -66,7 +66,8 @@
     pub submit: Option<Submit>,
     /// The waiting callers, with the kind of reply that each waits for.
     pub waiters: IndexMap<WaiterId, ReplyKind>,
-    /// Epoch of the ownership to which the request was last sent; none before that.
+    /// Epoch of the ownership to which the request was last sent; none if it was
+    /// never sent.
     pub sent_epoch: Option<Epoch>,
 }
 
