--- a/crates/decisions/src/policy/contract_queue.rs
+++ b/crates/decisions/src/policy/contract_queue.rs
@@ -27,7 +27,8 @@
     pub arrival: u64,
 }
 
-/// Order of contracts that may start a task; the smallest turn goes first.
+/// Place of a contract among those that may start a task; the smallest goes
+/// first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Turn {
     /// Whether the contract borrows; contracts within their share go first.
@@ -97,7 +98,7 @@
     pub running: usize,
     /// Rate of tasks that released their slots.
     pub end_rate: DecayingRate,
-    /// Slot time used, divided by the contract's weight.
+    /// Time for which tasks held slots, divided by the contract's weight.
     pub virtual_time: Duration,
     /// Turn that the policy's index holds for the contract, by class.
     pub indexed: PerClass<Option<Turn>>,
--- a/crates/decisions/src/policy/policy_trait.rs
+++ b/crates/decisions/src/policy/policy_trait.rs
@@ -22,7 +22,7 @@
     /// Applies a newer configuration.
     fn configure(&mut self, configuration: &Configuration);
 
-    /// Adds a waiting task; a `retried` one goes ahead of equally urgent tasks.
+    /// Adds a waiting task; a `retried` task goes ahead of equally urgent tasks.
     fn enqueue(&mut self, now: Now, waiting: WaitingTask, retried: bool);
 
     /// Removes and returns a waiting task, if it is known.
@@ -33,7 +33,7 @@
     /// The policy counts the task as running until [`Policy::release`].
     fn next(&mut self, now: Now, slots: &Slots) -> Option<(WaitingTask, EndpointId)>;
 
-    /// Counts a task as running that an earlier owner of the shard started.
+    /// Counts as running a task that an earlier owner of the shard started.
     fn adopt(&mut self, now: Now, task: &TaskRef);
 
     /// Counts a running task's slot as free again.
--- a/crates/decisions/src/policy/size_aware.rs
+++ b/crates/decisions/src/policy/size_aware.rs
@@ -18,11 +18,12 @@
     },
 };
 
-/// How many standard deviations of the short load the reserve covers beyond the
-/// mean.
+/// Margin of the reserve above the mean short load, in standard deviations of
+/// that load.
 const RESERVE_DEVIATIONS: f64 = 1.75;
 
-/// Largest share of the slots that the reserve adds to the mean short load.
+/// Largest margin of the reserve above the mean short load, as a share of the
+/// slots.
 const MAX_MARGIN: f64 = 0.045;
 
 /// Largest share of the slots that is reserved for short tasks.
--- a/crates/decisions/src/policy/slots.rs
+++ b/crates/decisions/src/policy/slots.rs
@@ -95,8 +95,8 @@
 
     /// Returns the endpoint for the next task; none if no slot is free.
     ///
-    /// Suspect endpoints come last; then the most free slots decide, and among
-    /// equals the endpoint that was added first.
+    /// Suspect endpoints come last. Otherwise, the endpoint with the most free
+    /// slots goes first, and among equals the endpoint that was added first.
     #[must_use]
     pub fn emptiest(&self) -> Option<&EndpointId> {
         let Reverse(position) = self.ranks.last()?.position;
